--- a/bench/logcost.py
+++ b/bench/logcost.py
@@ -35,8 +35,8 @@
     eliot.add_destinations(stream.write)
     written = _each(count, lambda: logs.event("request", **_FIELDS))
     eliot.remove_destination(stream.write)
-    bound = logs.Bound(0)
-    left_out = _each(count, lambda: bound.admits(0.0))
+    bound = logs.RateLimiter(0)
+    left_out = _each(count, lambda: bound.admit(0.0))
     os.close(sink)
     table.show(
         "logcost",
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -12,7 +12,7 @@
 
 from tamarackgap import types
 from tamarackgap.ownership import loads
-from tamarackgap.placement import heat, placement, slots
+from tamarackgap.placement import loadstats, placement, slots
 
 SLOTS = 256
 _BOUND = 1.25
@@ -154,13 +154,13 @@
         self.owner: dict[int, str] = {}
         self._since: dict[int, float] = {}
         self._changed: dict[str, float] = {}
-        self._meters: dict[str, heat.SlotMeter] = {}
+        self._meters: dict[str, loadstats.SlotMeter] = {}
         self._told: dict[str, loads.Loads] = {}
         self.moved = 0
 
     def slot(self, key: str) -> int:
         """Returns a key's slot."""
-        return slots.slot_of(types.Key(key), SLOTS)
+        return slots.slot_of_key(types.Key(key), SLOTS)
 
     def place(self, key: str, servers: list[Server]) -> str:
         """Returns the slot's owner."""
@@ -174,7 +174,7 @@
         """Takes lost slots over, tells loads, and lets each owner plan."""
         usable = [server for server in servers if server.alive]
         for server in usable:
-            self._meters.setdefault(server.name, heat.SlotMeter(now))
+            self._meters.setdefault(server.name, loadstats.SlotMeter(now))
             self._told.setdefault(server.name, loads.Loads())
         if not self.owner:
             for slot in range(SLOTS):
@@ -237,7 +237,7 @@
             )
             for other in usable
         ]
-        for move in placement.plan(SLOTS, members, rates)[:64]:
+        for move in placement.plan_moves(SLOTS, members, rates)[:64]:
             if move.source == server.name:
                 self._give(move.slot, move.destination, now)
                 self.moved += 1
--- a/bench/state.py
+++ b/bench/state.py
@@ -6,7 +6,7 @@
 
 from bench import table
 from tamarackgap.ownership import planner
-from tamarackgap.placement import placement, records, routes, slots
+from tamarackgap.placement import placement, records, slotowners, slots
 
 _SERVICES = 6
 _SLOTS = 32_768
@@ -22,7 +22,9 @@
         first = index * _SLOTS // members
         last = (index + 1) * _SLOTS // members
         runs = tuple(
-            slots.Run(slot, slot, 7, f"{(number * 7 + slot) % daemons:016x}")
+            slots.SlotRange(
+                slot, slot, 7, f"{(number * 7 + slot) % daemons:016x}"
+            )
             for slot in range(first, last)
         )
         record = records.LeaseRecord(
@@ -48,18 +50,18 @@
     gc.collect()
     tracemalloc.start()
     begun = time.monotonic()
-    view = records.View()
+    view = records.TableView()
     view.merge(rows)
-    known = routes.Routes()
+    known = slotowners.SlotOwners()
     for record in view.leases():
-        known.learn_record(record)
+        known.update_from_record(record)
     loaded = time.monotonic() - begun
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
     begun = time.monotonic()
     loads = {record.incarnation: 50.0 for record in view.leases()}
     members = planner.members(view, "service-0", loads)
-    placement.plan(_SLOTS, members)
+    placement.plan_moves(_SLOTS, members)
     planned = time.monotonic() - begun
     return {
         "daemons": daemons,
--- a/standins/target.py
+++ b/standins/target.py
@@ -92,7 +92,7 @@
         self._lock = threading.Lock()
         self._running = 0
         self._fences: dict[int, int] = {}
-        self._granted: dict[int, slots.Holding] = {}
+        self._granted: dict[int, slots.SlotAssignment] = {}
         self._granted_until = 0.0
         self._granted_owner = ""
         self._cancelled: set[str] = set()
--- a/tamarackgap/commands/cmdline.py
+++ b/tamarackgap/commands/cmdline.py
@@ -331,7 +331,7 @@
         case result.Success(values):
             pass
     rows = _read(address)
-    if control.find(rows, records.founded_key(service)) is None:
+    if control.find(rows, records.service_key(service)) is None:
         _fail(f"{service}: no such service", _EXIT_USAGE)
     key = records.policy_key(service, data_centre)
     try:
--- a/tamarackgap/commands/control.py
+++ b/tamarackgap/commands/control.py
@@ -204,7 +204,7 @@
         exceptions.TableError: If the table does not answer.
     """
     found = read_rows(address)
-    view = records.View()
+    view = records.TableView()
     view.merge(found.rows)
     lost = [record for record in view.members() if record.daemon == daemon]
     if not lost:
--- a/tamarackgap/logs.py
+++ b/tamarackgap/logs.py
@@ -27,7 +27,7 @@
     return text if _PLAIN.fullmatch(text) else json.dumps(text)
 
 
-def line_of(message: dict[str, object]) -> str:
+def format_line(message: dict[str, object]) -> str:
     """Returns an eliot message as one line of key=value pairs."""
     moment = datetime.datetime.fromtimestamp(message["timestamp"], datetime.UTC)
     stamp = moment.isoformat(timespec="milliseconds").replace("+00:00", "Z")
@@ -51,7 +51,7 @@
 
     def write(self, message: dict[str, object]) -> None:
         """Writes a line, or counts it as lost if there is no room."""
-        line = line_of(message)
+        line = format_line(message)
         if self._lost:
             line = f"event=log_lines_lost count={self._lost}\n{line}"
         try:
@@ -78,7 +78,7 @@
         )
 
         def write(message: dict[str, object]) -> None:
-            stream.write(line_of(message) + "\n")
+            stream.write(format_line(message) + "\n")
             stream.flush()
 
     eliot.add_global_fields(daemon=daemon)
@@ -95,7 +95,7 @@
     eliot.log_message(message_type=name, **fields)
 
 
-class Bound:
+class RateLimiter:
     """Lets so many lines through a second, and counts the others."""
 
     def __init__(self, per_s: int) -> None:
@@ -105,7 +105,7 @@
         self._written = 0
         self._left_out = 0
 
-    def admits(self, now: float) -> bool:
+    def admit(self, now: float) -> bool:
         """Returns whether one more line may be written."""
         second = int(now)
         if second != self._second:
@@ -121,8 +121,8 @@
         return True
 
 
-_successes = Bound(_SUCCESSES_PER_S)
-_failures = Bound(_FAILURES_PER_S)
+_successes = RateLimiter(_SUCCESSES_PER_S)
+_failures = RateLimiter(_FAILURES_PER_S)
 
 
 def request_event(name: str, failed: bool, **fields: object) -> None:
@@ -134,5 +134,5 @@
         **fields: What it happened to, and why.
     """
     bound = _failures if failed else _successes
-    if bound.admits(time.monotonic()):
+    if bound.admit(time.monotonic()):
         event(name, **fields)
--- a/tamarackgap/metrics.py
+++ b/tamarackgap/metrics.py
@@ -51,7 +51,7 @@
             buckets=_LATENCY_BUCKETS_S,
         )
 
-    def request(
+    def observe_request(
         self, verdict: str, reason: str, seconds: float, route: str = ""
     ) -> None:
         """Counts a finished request of a caller, on a route if it had one."""
@@ -59,7 +59,7 @@
         where = {"route": route} if route else {}
         self._latency.observe({"verdict": verdict, **where}, seconds)
 
-    def leg(self, verdict: str, seconds: float | None = None) -> None:
+    def observe_leg(self, verdict: str, seconds: float | None = None) -> None:
         """Counts a request that was handed to the target.
 
         Args:
@@ -70,17 +70,17 @@
         if seconds is not None:
             self._leg_latency.observe({"verdict": verdict}, seconds)
 
-    def event(self, name: str) -> None:
+    def count_event(self, name: str) -> None:
         """Counts a decision."""
         self._events.inc({"event": name})
 
-    def store_calls(self, counts: dict[str, int]) -> None:
+    def set_store_calls(self, counts: dict[str, int]) -> None:
         """Shows how many calls were made to the store."""
         for call, count in counts.items():
             kind, _, outcome = call.rpartition(" ")
             self._store_calls.set({"kind": kind, "result": outcome}, count)
 
-    def set(self, name: str, value: float) -> None:
+    def set_gauge(self, name: str, value: float) -> None:
         """Sets a gauge.
 
         Raises:
--- a/tamarackgap/ownership/changes.py
+++ b/tamarackgap/ownership/changes.py
@@ -53,7 +53,7 @@
 class Builder:
     """Collects the checks and writes of one transaction."""
 
-    def __init__(self, view: records.View, change: str) -> None:
+    def __init__(self, view: records.TableView, change: str) -> None:
         """Creates an empty transaction on the rows of `view`."""
         self._view = view
         self._change = change
@@ -75,7 +75,7 @@
     def close(
         self,
         record: records.LeaseRecord,
-        left: dict[types.Slot, slots.Holding],
+        left: dict[types.Slot, slots.SlotAssignment],
     ) -> None:
         """Closes a record; one that holds no slots any more is deleted."""
         if left:
@@ -91,9 +91,9 @@
 
     def put_founded(self, service: str, slot_count: int) -> None:
         """Writes a service's founding row, if there is none yet."""
-        key = records.founded_key(service)
+        key = records.service_key(service)
         self.check(key)
-        row = records.Founded(slot_count, self._change)
+        row = records.ServiceRecord(slot_count, self._change)
         self._writes[key] = records.Write(key, records.encode(row))
 
     def challenge(self, record: records.LeaseRecord, by: str) -> None:
@@ -124,7 +124,7 @@
 
 def own_record(
     record: records.LeaseRecord,
-    holdings: dict[types.Slot, slots.Holding],
+    holdings: dict[types.Slot, slots.SlotAssignment],
     members: Iterable[records.LeaseRecord],
 ) -> records.LeaseRecord:
     """Returns a record with these holdings, each with a successor."""
@@ -133,7 +133,7 @@
 
 
 def found(
-    view: records.View,
+    view: records.TableView,
     mine: records.LeaseRecord,
     slot_count: int,
     change: str,
@@ -155,7 +155,7 @@
         _share(builder, view, mine, slot_count)
         return builder.build(Kind.FOUND, "no-slots-given-out-yet")
     holdings = {
-        types.Slot(slot): slots.Holding(1) for slot in range(slot_count)
+        types.Slot(slot): slots.SlotAssignment(1) for slot in range(slot_count)
     }
     members = view.members(mine.service)
     builder.put(own_record(mine, holdings, members))
@@ -164,7 +164,7 @@
 
 def _share(
     builder: Builder,
-    view: records.View,
+    view: records.TableView,
     mine: records.LeaseRecord,
     slot_count: int,
 ) -> None:
@@ -174,13 +174,14 @@
         first = slot_count * index // len(owners)
         end = slot_count * (index + 1) // len(owners)
         holdings = {
-            types.Slot(slot): slots.Holding(1) for slot in range(first, end)
+            types.Slot(slot): slots.SlotAssignment(1)
+            for slot in range(first, end)
         }
         builder.put(own_record(owner, holdings, members))
 
 
 def claim(
-    view: records.View,
+    view: records.TableView,
     mine: records.LeaseRecord,
     gains: Iterable[Gain],
     change: str,
@@ -193,7 +194,7 @@
         left = slots.expand(gain.record.runs)
         for slot, fence in gain.fences.items():
             left.pop(types.Slot(slot), None)
-            holdings[types.Slot(slot)] = slots.Holding(fence)
+            holdings[types.Slot(slot)] = slots.SlotAssignment(fence)
         builder.close(gain.record, left)
         sources.append(gain.record.incarnation)
     kept = slots.expand(mine.runs)
@@ -209,7 +210,7 @@
 
 
 def reconfigure(
-    view: records.View,
+    view: records.TableView,
     target: records.LeaseRecord,
     moves: Iterable[placement.Move],
     change: str,
@@ -228,7 +229,7 @@
     """
     builder = Builder(view, change)
     holdings = slots.expand(target.runs)
-    gained: dict[str, dict[types.Slot, slots.Holding]] = {}
+    gained: dict[str, dict[types.Slot, slots.SlotAssignment]] = {}
     moves = list(moves)
     # One fence for all that moves keeps neighbouring slots in one run.
     fence = 1 + max(
@@ -237,7 +238,7 @@
     for move in moves:
         del holdings[types.Slot(move.slot)]
         taken = gained.setdefault(move.destination, {})
-        taken[types.Slot(move.slot)] = slots.Holding(
+        taken[types.Slot(move.slot)] = slots.SlotAssignment(
             fence, handover=handover(move.slot)
         )
     members = view.members(target.service)
--- a/tamarackgap/ownership/effects.py
+++ b/tamarackgap/ownership/effects.py
@@ -6,7 +6,7 @@
 
 from tamarackgap.ownership import changes
 from tamarackgap.peers import messages
-from tamarackgap.placement import heat, records
+from tamarackgap.placement import loadstats, records
 
 
 class Settings(msgspec.Struct, frozen=True):
@@ -52,7 +52,7 @@
     settle: float = 1.0
     batch: int = 64
     ordered: bool = False
-    half_life: float = heat.HALF_LIFE_S
+    half_life: float = loadstats.HALF_LIFE_S
     unsettled: float = 5.0
     tolerance: int = 0
     anchor: float = 0.0
@@ -143,7 +143,7 @@
 class Outbox:
     """Effects in the order in which they were decided on."""
 
-    def __init__(self, view: records.View, incarnation: str) -> None:
+    def __init__(self, view: records.TableView, incarnation: str) -> None:
         """Creates an empty outbox.
 
         Args:
--- a/tamarackgap/ownership/former.py
+++ b/tamarackgap/ownership/former.py
@@ -44,7 +44,7 @@
         """Notes when what an incarnation handed over is over, seconds."""
         self._over_at[name] = at
 
-    def over(self, view: records.View, now: float) -> frozenset[str]:
+    def over(self, view: records.TableView, now: float) -> frozenset[str]:
         """Returns those that are over for certain and not yet closed."""
         for name in list(self._over_at):
             record = view.lease(name)
--- a/tamarackgap/ownership/loads.py
+++ b/tamarackgap/ownership/loads.py
@@ -77,7 +77,7 @@
     def __init__(
         self,
         settings: effects.Settings,
-        view: records.View,
+        view: records.TableView,
         outbox: effects.Outbox,
         rng: random.Random,
         now: float,
@@ -127,4 +127,4 @@
             if record.incarnation != own
         ]
         for record in self._rng.sample(others, min(_FANOUT, len(others))):
-            self._outbox.post(record.peer_address, messages.Load(total))
+            self._outbox.post(record.peer_address, messages.LoadReport(total))
--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -24,7 +24,7 @@
 )
 from tamarackgap.ownership import situation as situation_lib
 from tamarackgap.peers import messages
-from tamarackgap.placement import records, routes, slots
+from tamarackgap.placement import records, slotowners, slots
 
 _SUSPECT_SHARE = 0.8
 _COMMIT_AGAIN_S = 0.2
@@ -61,9 +61,9 @@
         self._settings = settings
         self._rng = rng
         self._busy = busy
-        self._view = records.View()
-        self._routes = routes.Routes()
-        self._outbox = effects.Outbox(self._view, types.NOBODY)
+        self._view = records.TableView()
+        self._slot_owners = slotowners.SlotOwners()
+        self._outbox = effects.Outbox(self._view, types.NO_INCARNATION)
         self._accepting = False
         self._checks_grants = False
         self._draining = False
@@ -110,7 +110,7 @@
         self._succession = succession.Succession(
             self._settings.drift,
             self._view,
-            self._routes,
+            self._slot_owners,
             self._outbox,
             self._witnessing.seal,
         )
@@ -153,14 +153,14 @@
         return self._settings
 
     @property
-    def view(self) -> records.View:
+    def view(self) -> records.TableView:
         """The rows of the table known here."""
         return self._view
 
     @property
-    def routes(self) -> routes.Routes:
+    def slot_owners(self) -> slotowners.SlotOwners:
         """Slot owners known here."""
-        return self._routes
+        return self._slot_owners
 
     @property
     def epoch(self) -> int:
@@ -297,7 +297,7 @@
                 self._plan_at = now
             if record is None:
                 continue
-            self._routes.learn_record(record)
+            self._slot_owners.update_from_record(record)
             if self._is_stranded(record):
                 # Who may take its slots is known once this has been read.
                 self._outbox.put(effects.Refresh(urgent=True))
@@ -386,23 +386,23 @@
         message = envelope.message
         sender = envelope.sender
         answer = None
-        asked = getattr(message, "witness", types.NOBODY)
+        asked = getattr(message, "witness", types.NO_INCARNATION)
         witness = self._witness(asked)
         match message:
             case messages.Renew() if witness is not None:
                 self._heard_revision(message.revision)
                 answer = witness.renew(sender, message, now)
-            case messages.Granted(owner=name) if name == self._incarnation:
+            case messages.RenewReply(owner=name) if name == self._incarnation:
                 self._granted(sender, message, now)
-            case messages.Suspect():
+            case messages.SuspectOwner():
                 self._suspect(message.owner, message.epoch, now)
             case messages.Seal() if witness is not None:
                 answer = witness.seal(message, now)
-            case messages.Sealed():
+            case messages.SealReply():
                 self._succession.sealed(sender, message, now)
             case messages.Retire() if witness is not None:
                 answer = witness.retire(sender, message)
-            case messages.Retired(owner=name) if name == self._incarnation:
+            case messages.RetireReply(owner=name) if name == self._incarnation:
                 self._renewal.retired(sender, message, now)
             case messages.Release() if witness is not None:
                 witness.release(sender, message)
@@ -410,7 +410,7 @@
                 self.merge(list(message.rows), now)
             case messages.Claim():
                 self._succession.claimed(sender, message)
-            case messages.Load(rate=rate):
+            case messages.LoadReport(rate=rate):
                 self._sharing.known.note(sender, rate, now)
         if answer is not None:
             # The owner knows its witness by the name that it asked.
@@ -441,7 +441,7 @@
     # The owner's side.
 
     def _granted(
-        self, sender: str, message: messages.Granted, now: float
+        self, sender: str, message: messages.RenewReply, now: float
     ) -> None:
         self._heard_revision(message.revision)
         self._renewal.granted(sender, message, now)
@@ -489,7 +489,7 @@
         self._owned = held
         for slot in held:
             self._succession.recorded(slot)
-        if held and self._view.founded(self._settings.service) is None:
+        if held and self._view.service_record(self._settings.service) is None:
             # Keys are told from slots by the founding row.
             self._outbox.put(effects.Refresh(urgent=True))
         if gained or lost:
@@ -504,7 +504,7 @@
             )
 
     def _kept(
-        self, slot: int, holding: slots.Holding, now: float
+        self, slot: int, holding: slots.SlotAssignment, now: float
     ) -> effects.Owned:
         present = self.find(slot)
         if present is not None and present.fence == holding.fence:
@@ -604,7 +604,7 @@
             self._sharing.budget.spend(len(found.moves))
             self._put(found.change, now)
 
-    def handed_off(self, handovers: dict[slots.Run, str]) -> None:
+    def handed_off(self, handovers: dict[slots.SlotRange, str]) -> None:
         """Notes that the target has released the slots that are to move.
 
         Args:
--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -38,7 +38,7 @@
     """
 
     moves: tuple[placement.Move, ...]
-    handovers: dict[slots.Run, str] | None = None
+    handovers: dict[slots.SlotRange, str] | None = None
 
     def handover(self, slot: int) -> str:
         """Returns what to tell a slot's next target, or ""."""
@@ -187,7 +187,10 @@
         successor = view.lease(run.successor)
         if successor is not None and successor.is_open:
             continue
-        if placement.rendezvous(run.first, heirs) == situation.incarnation:
+        if (
+            placement.choose_by_rendezvous(run.first, heirs)
+            == situation.incarnation
+        ):
             for slot in range(run.first, run.last + 1):
                 fences[slot] = run.fence + 2
     return fences
@@ -283,7 +286,7 @@
         for record in situation.view.members()
         if situation.alive(record.incarnation)
     ]
-    return placement.rendezvous(item, heard) == situation.incarnation
+    return placement.choose_by_rendezvous(item, heard) == situation.incarnation
 
 
 def _found(
@@ -297,7 +300,7 @@
         or situation.age < settings.settle
         or not situation.lease_valid
         or not situation.accepting
-        or situation.view.founded(settings.service) is not None
+        or situation.view.service_record(settings.service) is not None
     ):
         return None
     if settings.ordered and not _founds(situation, mine):
@@ -391,7 +394,7 @@
 
 
 def members(
-    view: records.View, service: str, loads: dict[str, float]
+    view: records.TableView, service: str, loads: dict[str, float]
 ) -> list[placement.Member]:
     """Returns a service's daemons with their weights, slots and loads."""
     return [
@@ -415,8 +418,8 @@
     """Returns the moves that this daemon should make now."""
     view = situation.view
     service = situation.settings.service
-    founded = view.founded(service)
-    if not situation.keyed or founded is None or situation.unrecorded:
+    service_record = view.service_record(service)
+    if not situation.keyed or service_record is None or situation.unrecorded:
         return ()
     unclaimed = any(
         record.runs and not record.is_open and record.service == service
@@ -431,15 +434,15 @@
     empty = any(member.weight and not member.owned for member in present)
     if situation.calm and situation.accepting and not empty:
         return ()
-    planned = placement.plan(
-        founded.slots,
+    planned = placement.plan_moves(
+        service_record.slots,
         present,
         situation.rates,
         max(policy.tolerance, situation.settings.tolerance) / 100,
         situation.settings.half_life,
-        placement.give_blocks
+        placement.plan_block_moves
         if situation.settings.ordered
-        else placement.give_slots,
+        else placement.plan_slot_moves,
     )
     own = [
         move
--- a/tamarackgap/ownership/reconfiguring.py
+++ b/tamarackgap/ownership/reconfiguring.py
@@ -86,7 +86,7 @@
         self._renewal.own_lease.begin_write()
         return found
 
-    def handed_off(self, handovers: dict[slots.Run, str]) -> None:
+    def handed_off(self, handovers: dict[slots.SlotRange, str]) -> None:
         """Notes that the target has released the slots that are to move.
 
         Args:
@@ -112,10 +112,10 @@
 
     def _log_moves(self, moves: tuple[placement.Move, ...]) -> None:
         """Logs one line for each run of slots that goes the same way."""
-        ways: dict[tuple[str, str], dict[int, slots.Holding]] = {}
+        ways: dict[tuple[str, str], dict[int, slots.SlotAssignment]] = {}
         for move in moves:
             way = ways.setdefault((move.destination, move.reason), {})
-            way[move.slot] = slots.Holding(0)
+            way[move.slot] = slots.SlotAssignment(0)
         for (destination, reason), moved in ways.items():
             for run in slots.compress(moved):
                 self._outbox.log(
--- a/tamarackgap/ownership/renewal.py
+++ b/tamarackgap/ownership/renewal.py
@@ -17,7 +17,7 @@
     def __init__(
         self,
         length: float,
-        view: records.View,
+        view: records.TableView,
         outbox: effects.Outbox,
         now: float,
     ) -> None:
@@ -63,7 +63,7 @@
             self._ask(grants, now)
 
     def granted(
-        self, sender: str, message: messages.Granted, now: float
+        self, sender: str, message: messages.RenewReply, now: float
     ) -> None:
         """Takes a witness's answer to a renewal in."""
         for grants in self._lease.epochs():
@@ -77,7 +77,7 @@
                 self._due = now
 
     def retired(
-        self, sender: str, message: messages.Retired, now: float
+        self, sender: str, message: messages.RetireReply, now: float
     ) -> None:
         """Takes a witness's answer to a retirement in."""
         for grants in self._lease.epochs():
--- a/tamarackgap/ownership/reports.py
+++ b/tamarackgap/ownership/reports.py
@@ -68,7 +68,9 @@
             incarnation=record.incarnation,
             epoch=record.epoch,
             state=record.state.value,
-            slots=core.routes.counts(record.service).get(record.incarnation, 0),
+            slots=core.slot_owners.slot_counts(record.service).get(
+                record.incarnation, 0
+            ),
             weight=core.view.policy(record.service, record.data_centre).weight,
             accepting=record.accepting,
         )
@@ -84,10 +86,10 @@
     Raises:
         KeyError: If the service has no owned keys that are known here.
     """
-    founded = core.view.founded(service)
-    if founded is None:
+    service_record = core.view.service_record(service)
+    if service_record is None:
         raise KeyError(f"service {service} is not known")
-    return founded.slots
+    return service_record.slots
 
 
 def explanation(
@@ -98,8 +100,8 @@
     now: float,
 ) -> Explanation:
     """Returns who owns a key's slot, and why, as far as is known here."""
-    route = core.routes.find(service, slot)
-    owner = route.owner if route else types.NOBODY
+    route = core.slot_owners.find(service, slot)
+    owner = route.owner if route else types.NO_INCARNATION
     record = core.view.lease(owner)
     held = slots.expand(record.runs).get(slot) if record is not None else None
     own = service == core.settings.service
--- a/tamarackgap/ownership/silence.py
+++ b/tamarackgap/ownership/silence.py
@@ -19,7 +19,7 @@
 
     def missed_for(
         self,
-        view: records.View,
+        view: records.TableView,
         own: str,
         alive: Callable[[str], bool],
         now: float,
@@ -42,7 +42,7 @@
         return {name: now - since for name, since in self._missed_since.items()}
 
     def challenged_for(
-        self, view: records.View, now: float
+        self, view: records.TableView, now: float
     ) -> dict[str, float]:
         """Returns for how long each challenge has been seen here, seconds."""
         found: dict[str, tuple[int, float]] = {}
--- a/tamarackgap/ownership/situation.py
+++ b/tamarackgap/ownership/situation.py
@@ -70,7 +70,7 @@
         over: Earlier incarnations of this process whose leases have ended.
     """
 
-    view: records.View
+    view: records.TableView
     settings: effects.Settings
     incarnation: str
     accepting: bool
--- a/tamarackgap/ownership/succession.py
+++ b/tamarackgap/ownership/succession.py
@@ -5,14 +5,14 @@
 from tamarackgap import types
 from tamarackgap.ownership import effects, takeover
 from tamarackgap.peers import messages
-from tamarackgap.placement import records, routes, slots
+from tamarackgap.placement import records, slotowners, slots
 
 _ASK_AGAIN_S = 0.05
 _RECLAIM_S = 1.0
 _SUSPICION_KEPT_S = 2.0
 
 # Seals at this very daemon, where it is a witness itself.
-SealHere = Callable[[messages.Seal, float], messages.Sealed]
+SealHere = Callable[[messages.Seal, float], messages.SealReply]
 
 
 class Succession:
@@ -21,8 +21,8 @@
     def __init__(
         self,
         drift: float,
-        view: records.View,
-        known: routes.Routes,
+        view: records.TableView,
+        known: slotowners.SlotOwners,
         outbox: effects.Outbox,
         seal_here: SealHere,
     ) -> None:
@@ -37,7 +37,7 @@
         """
         self._drift = drift
         self._view = view
-        self._routes = known
+        self._slot_owners = known
         self._outbox = outbox
         self._seal_here = seal_here
         self._attempts: dict[tuple[str, int], takeover.Takeover] = {}
@@ -77,7 +77,9 @@
             self._outbox.log("takeover_begun", owner=owner, epoch=epoch)
         attempt.suspected_at = types.Seconds(now)
 
-    def sealed(self, sender: str, message: messages.Sealed, now: float) -> None:
+    def sealed(
+        self, sender: str, message: messages.SealReply, now: float
+    ) -> None:
         """Takes a witness's answer in."""
         attempt = self._attempts.get((message.owner, message.epoch))
         if attempt is not None:
@@ -105,8 +107,8 @@
     def claimed(self, sender: str, message: messages.Claim) -> None:
         """Learns of slots that another successor has taken over."""
         news = sum(
-            self._routes.learn(
-                message.service, slot, routes.Route(sender, run.fence)
+            self._slot_owners.update(
+                message.service, slot, slotowners.SlotOwner(sender, run.fence)
             )
             for run in message.runs
             for slot in range(run.first, run.last + 1)
@@ -159,8 +161,8 @@
             if holding.successor == own:
                 fence = holding.fence + 1
                 self._held[slot] = effects.Owned(fence, now)
-                route = routes.Route(own, fence)
-                self._routes.learn(record.service, slot, route)
+                route = slotowners.SlotOwner(own, fence)
+                self._slot_owners.update(record.service, slot, route)
         self._outbox.log(
             "taken_over",
             owner=record.incarnation,
@@ -177,7 +179,7 @@
                 continue
             record = attempt.record
             held = {
-                types.Slot(slot): slots.Holding(self._held[slot].fence)
+                types.Slot(slot): slots.SlotAssignment(self._held[slot].fence)
                 for slot in slots.expand(record.runs)
                 if slot in self._held
             }
--- a/tamarackgap/ownership/takeover.py
+++ b/tamarackgap/ownership/takeover.py
@@ -57,7 +57,7 @@
         return self._record
 
     def answered(
-        self, witness: str, answer: messages.Sealed, now: types.Seconds
+        self, witness: str, answer: messages.SealReply, now: types.Seconds
     ) -> None:
         """Takes a witness's answer in.
 
--- a/tamarackgap/ownership/witnessing.py
+++ b/tamarackgap/ownership/witnessing.py
@@ -17,7 +17,7 @@
     def __init__(
         self,
         suspect_after: float,
-        view: records.View,
+        view: records.TableView,
         outbox: effects.Outbox,
     ) -> None:
         """Creates a witness that has promised nothing.
@@ -35,12 +35,12 @@
 
     def renew(
         self, owner: str, message: messages.Renew, now: float
-    ) -> messages.Granted:
+    ) -> messages.RenewReply:
         """Returns the answer to a renewal."""
         state = self._witness.renew(
             owner, message.epoch, types.Seconds(now), message.probe
         )
-        return messages.Granted(
+        return messages.RenewReply(
             owner,
             message.epoch,
             message.sent,
@@ -49,17 +49,19 @@
             self._view.cursor,
         )
 
-    def retire(self, owner: str, message: messages.Retire) -> messages.Retired:
+    def retire(
+        self, owner: str, message: messages.Retire
+    ) -> messages.RetireReply:
         """Returns the answer to a retirement."""
         state = self._witness.retire(owner, message.epoch)
-        return messages.Retired(owner, message.epoch, state)
+        return messages.RetireReply(owner, message.epoch, state)
 
     def release(self, owner: str, message: messages.Release) -> None:
         """Notes that an owner has given its epoch up."""
         self._witness.release(owner, message.epoch)
         self._notified.pop(owner, None)
 
-    def seal(self, message: messages.Seal, now: float) -> messages.Sealed:
+    def seal(self, message: messages.Seal, now: float) -> messages.SealReply:
         """Returns the answer to a request to seal."""
         state, age = self._witness.seal(
             message.owner, message.epoch, types.Seconds(now)
@@ -72,7 +74,7 @@
             state=state.value,
             age=round(known, 4),
         )
-        return messages.Sealed(message.owner, message.epoch, state, known)
+        return messages.SealReply(message.owner, message.epoch, state, known)
 
     def silent_owners(self, now: float) -> list[records.LeaseRecord]:
         """Tells successors of owners that no longer renew.
@@ -99,7 +101,7 @@
     def _notify(
         self, record: records.LeaseRecord, suspicion: witness.Suspicion
     ) -> bool:
-        message = messages.Suspect(suspicion.owner, suspicion.epoch)
+        message = messages.SuspectOwner(suspicion.owner, suspicion.epoch)
         successors = record.successors()
         for name in successors:
             if name != self._outbox.incarnation:
--- a/tamarackgap/peers/calls.py
+++ b/tamarackgap/peers/calls.py
@@ -9,19 +9,19 @@
     """A caller's request, as it is handed to a target.
 
     Attributes:
-        request: Its id.
-        origin: Service of the VM where it began.
+        request_id: Its id.
+        caller_service: Service of the VM where it began.
         method: HTTP method.
-        target: Path and query.
+        request_target: Path and query.
         head: Header lines to pass on, each with its line end.
         body: The body.
-        position: Its key's position, in [0, slots.POSITIONS), if it has one.
+        position: Position of its key, below `slots.POSITION_COUNT`, or None.
     """
 
-    request: types.RequestId
-    origin: types.ServiceName
+    request_id: types.RequestId
+    caller_service: types.ServiceName
     method: str
-    target: str
+    request_target: str
     head: bytes
     body: bytes
     position: int | None
@@ -93,11 +93,11 @@
     """A target crashed while it ran these contents.
 
     Attributes:
-        contents: Their fingerprints, each with its run's begin and end in
+        fingerprints: Their fingerprints, each with its run's begin and end in
             seconds before the message was sent. Runs end one by one.
     """
 
-    contents: dict[str, tuple[float, float]]
+    fingerprints: dict[str, tuple[float, float]]
 
 
 class ContentCleared(
@@ -105,22 +105,24 @@
 ):
     """A content that was at a crash has been answered since."""
 
-    content: str
+    fingerprint: str
 
 
-class TableWanted(
+class RouteTableRequest(
     msgspec.Struct, tag="table-wanted", array_like=True, frozen=True
 ):
     """A daemon asks another for its newer route table."""
 
 
-class TableNews(msgspec.Struct, tag="table-news", array_like=True, frozen=True):
+class RouteTableUpdate(
+    msgspec.Struct, tag="table-news", array_like=True, frozen=True
+):
     """A route table, passed on as the operators wrote it."""
 
     source: bytes
 
 
-class Status(msgspec.Struct, tag="status", array_like=True, frozen=True):
+class TargetStatus(msgspec.Struct, tag="status", array_like=True, frozen=True):
     """What a daemon tells the others of itself and its target.
 
     Attributes:
--- a/tamarackgap/peers/messages.py
+++ b/tamarackgap/peers/messages.py
@@ -30,7 +30,7 @@
     probe: bool = False
 
 
-class Granted(msgspec.Struct, tag="granted", array_like=True, frozen=True):
+class RenewReply(msgspec.Struct, tag="granted", array_like=True, frozen=True):
     """A witness's answer to `Renew`; it is a grant only where `granted`.
 
     Attributes:
@@ -51,7 +51,7 @@
     revision: int
 
 
-class Suspect(msgspec.Struct, tag="suspect", array_like=True, frozen=True):
+class SuspectOwner(msgspec.Struct, tag="suspect", array_like=True, frozen=True):
     """A witness tells a successor that an owner no longer renews."""
 
     owner: str
@@ -66,7 +66,7 @@
     epoch: int
 
 
-class Sealed(msgspec.Struct, tag="sealed", array_like=True, frozen=True):
+class SealReply(msgspec.Struct, tag="sealed", array_like=True, frozen=True):
     """A witness's answer to `Seal`.
 
     Attributes:
@@ -89,7 +89,7 @@
     epoch: int
 
 
-class Retired(msgspec.Struct, tag="retired", array_like=True, frozen=True):
+class RetireReply(msgspec.Struct, tag="retired", array_like=True, frozen=True):
     """A witness's answer to `Retire`; `owner` is the one that asked."""
 
     owner: str
@@ -121,7 +121,7 @@
 
     service: str
     owner: str
-    runs: tuple[slots.Run, ...]
+    runs: tuple[slots.SlotRange, ...]
 
 
 class Forward(msgspec.Struct, tag="forward", array_like=True, frozen=True):
@@ -130,7 +130,7 @@
     Attributes:
         owner: The incarnation that is asked.
         leg: Fresh id of this leg; the answer carries it.
-        request: The caller's request id.
+        request_id: The caller's request id.
         service: The service.
         key: The key.
         slot: The key's slot.
@@ -146,7 +146,7 @@
 
     owner: types.Incarnation
     leg: str
-    request: types.RequestId
+    request_id: types.RequestId
     service: types.ServiceName
     key: types.Key
     slot: types.Slot
@@ -160,7 +160,7 @@
     urgent: bool
 
 
-class Outcome(msgspec.Struct, tag="outcome", array_like=True, frozen=True):
+class ForwardReply(msgspec.Struct, tag="outcome", array_like=True, frozen=True):
     """The owner's answer to `Forward`.
 
     Attributes:
@@ -180,7 +180,7 @@
     status: int = 0
     content_type: str = ""
     body: bytes = b""
-    owner: str = types.NOBODY
+    owner: str = types.NO_INCARNATION
     fence: int = 0
 
 
@@ -190,19 +190,19 @@
     leg: str
 
 
-class Crashed(msgspec.Struct, tag="crashed", array_like=True, frozen=True):
+class CrashReport(msgspec.Struct, tag="crashed", array_like=True, frozen=True):
     """A target crashed while it ran these contents.
 
     Attributes:
-        contents: Fingerprints of the requests that it ran.
-        alone: Whether it ran only the one: then that one is the cause.
+        fingerprints: Fingerprints of the requests that it ran.
+        exclusive: Whether it ran only the one: then that one is the cause.
     """
 
-    contents: tuple[str, ...]
-    alone: bool
+    fingerprints: tuple[str, ...]
+    exclusive: bool
 
 
-class Load(msgspec.Struct, tag="load", array_like=True, frozen=True):
+class LoadReport(msgspec.Struct, tag="load", array_like=True, frozen=True):
     """What a daemon serves at present.
 
     Attributes:
@@ -214,28 +214,28 @@
 
 Message = (
     Renew
-    | Granted
-    | Suspect
+    | RenewReply
+    | SuspectOwner
     | Seal
-    | Sealed
+    | SealReply
     | Retire
-    | Retired
+    | RetireReply
     | Release
     | Rows
     | Claim
     | Forward
-    | Outcome
+    | ForwardReply
     | Cancel
-    | Crashed
-    | Load
+    | CrashReport
+    | LoadReport
     | calls.Dispatch
     | calls.Completion
     | calls.Withdraw
     | calls.TargetCrash
     | calls.ContentCleared
-    | calls.Status
-    | calls.TableWanted
-    | calls.TableNews
+    | calls.TargetStatus
+    | calls.RouteTableRequest
+    | calls.RouteTableUpdate
 )
 
 
--- a/tamarackgap/peers/peers.py
+++ b/tamarackgap/peers/transport.py
@@ -26,7 +26,7 @@
 Receive = Callable[[messages.Envelope], None]
 
 
-class Peers:
+class PeerTransport:
     """All links to other daemons."""
 
     def __init__(
@@ -35,7 +35,7 @@
         timers: scheduler.Scheduler,
         deployment: str,
         address: str,
-        largest: int,
+        max_message_bytes: int,
         receive: Receive,
     ) -> None:
         """Binds to `address`.
@@ -45,7 +45,7 @@
             timers: The loop's scheduler.
             deployment: Messages of other deployments are dropped.
             address: This daemon's `ip:port`.
-            largest: Largest message, bytes.
+            max_message_bytes: Largest message, bytes.
             receive: Called with each message.
 
         Raises:
@@ -59,7 +59,7 @@
         self._inbox = self._context.socket(zmq.PULL)
         self._inbox.setsockopt(zmq.LINGER, 0)
         self._inbox.setsockopt(zmq.RCVHWM, _HIGH_WATER_MESSAGES)
-        self._inbox.setsockopt(zmq.MAXMSGSIZE, largest)
+        self._inbox.setsockopt(zmq.MAXMSGSIZE, max_message_bytes)
         try:
             self._inbox.bind(f"tcp://{address}")
         except zmq.ZMQError as error:
@@ -67,8 +67,8 @@
         self._outboxes: dict[str, zmq.Socket] = {}
         self.sent_messages = 0
         self.sent_bytes = 0
-        self.dropped = 0
-        self.malformed = 0
+        self.dropped_messages = 0
+        self.malformed_frames = 0
         poller.watch(
             self._inbox.getsockopt(zmq.FD), sockets.READABLE, self._readable
         )
@@ -77,7 +77,7 @@
         # The descriptor is edge-triggered: a missed edge is made up here.
         timers.every(_MISSED_EDGE_S, self._drain)
 
-    def keep(self, addresses: set[str]) -> None:
+    def set_peers(self, addresses: set[str]) -> None:
         """Connects to these peers ahead, and closes links to all others."""
         for address in addresses - {self._address}:
             self._outbox(address)
@@ -123,7 +123,7 @@
         try:
             self._outbox(address).send(frame, zmq.NOBLOCK)
         except zmq.Again:
-            self.dropped += 1
+            self.dropped_messages += 1
             return False
         self.sent_messages += 1
         self.sent_bytes += len(frame)
@@ -169,13 +169,13 @@
         try:
             envelope = messages.decode(frame)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-            self.malformed += 1
+            self.malformed_frames += 1
             logs.event(
                 "peer_frame_malformed", bytes=len(frame), error=str(error)
             )
             return
         if envelope.deployment != self._deployment:
-            self.malformed += 1
+            self.malformed_frames += 1
             logs.event(
                 "peer_of_other_deployment",
                 deployment=envelope.deployment,
--- a/tamarackgap/placement/heat.py
+++ b/tamarackgap/placement/loadstats.py
@@ -72,17 +72,17 @@
 
     def _seen(self, age: float) -> float:
         """Returns the weights of one request a second over the last `age`."""
-        life = life_s(self._half_life)
+        life = time_constant_s(self._half_life)
         least = min(_LEAST_AGE_S, self._half_life)
         return life * (1 - 2.0 ** (-max(age, least) / self._half_life))
 
 
-def life_s(half_life: float) -> float:
+def time_constant_s(half_life: float) -> float:
     """Returns the sum of the weights of one request a second for ever."""
     return half_life / math.log(2)
 
 
-class HotKeys:
+class HotKeySketch:
     """The keys with most requests, by the Space-Saving sketch.
 
     A key that is not kept takes the place of the one counted least, and its
--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -10,7 +10,7 @@
 import xxhash
 
 from tamarackgap import types
-from tamarackgap.placement import heat, records, slots
+from tamarackgap.placement import loadstats, records, slots
 
 # Below this many requests a second in all, only numbers of slots count.
 _LEAST_RATE = 20.0
@@ -97,7 +97,7 @@
 
 # Chooses the moves of one giver, and takes their cost out of the room that
 # members have: the giver, all members, costs, room, shares.
-Give = Callable[
+MoveStrategy = Callable[
     [Member, Sequence[Member], "Costs", dict[str, float], dict[Member, float]],
     list[Move],
 ]
@@ -133,13 +133,13 @@
         return self._even * len(member.owned) + load
 
 
-def plan(
+def plan_moves(
     slot_count: int,
     members: Sequence[Member],
     rates: dict[int, float] | None = None,
     tolerance: float = 0.08,
-    half_life: float = heat.HALF_LIFE_S,
-    give: "Give | None" = None,
+    half_life: float = loadstats.HALF_LIFE_S,
+    strategy: "MoveStrategy | None" = None,
 ) -> list[Move]:
     """Returns the moves that bring every member near to its share.
 
@@ -155,7 +155,7 @@
         tolerance: Excess over its share at which a member gives slots
             away, as a part of the share.
         half_life: Half-life of the rates, seconds.
-        give: Chooses one giver's moves; `give_slots` if None.
+        strategy: Chooses one giver's moves; `plan_slot_moves` if None.
     """
     if not any(member.weight for member in members):
         return []
@@ -179,7 +179,9 @@
         least = max(tolerance, _noise(giver.rate or 0.0, half_life)) * share
         if giver.weight and -room[giver.incarnation] <= least:
             continue
-        moves += (give or give_slots)(giver, known, costs, room, shares)
+        moves += (strategy or plan_slot_moves)(
+            giver, known, costs, room, shares
+        )
     return moves
 
 
@@ -194,11 +196,11 @@
 
 def _noise(rate: float, half_life: float) -> float:
     """Returns how far a measured rate may be off by chance, as a share."""
-    counted = rate * heat.life_s(half_life)
+    counted = rate * loadstats.time_constant_s(half_life)
     return _DEVIATIONS / max(1.0, counted) ** 0.5
 
 
-def give_slots(
+def plan_slot_moves(
     giver: Member,
     members: Sequence[Member],
     costs: Costs,
@@ -234,7 +236,7 @@
     return moves
 
 
-def give_blocks(
+def plan_block_moves(
     giver: Member,
     members: Sequence[Member],
     costs: Costs,
@@ -372,7 +374,7 @@
     owner: records.LeaseRecord,
     candidates: Iterable[records.LeaseRecord],
     count: int,
-    avoid: Callable[[str], bool],
+    is_unresponsive: Callable[[str], bool],
 ) -> tuple[str, ...]:
     """Returns witnesses in as many data centres as there are.
 
@@ -382,14 +384,14 @@
         owner: The record to be witnessed.
         candidates: Open records, of any service.
         count: How many are wanted; odd.
-        avoid: Tells whether an incarnation does not answer.
+        is_unresponsive: Tells whether an incarnation does not answer.
     """
     usable = [
         record
         for record in candidates
         if record.incarnation != owner.incarnation
         and not record.leaving
-        and not avoid(record.incarnation)
+        and not is_unresponsive(record.incarnation)
     ]
     # A member without witnesses may never have come up whole.
     settled = [record for record in usable if record.witnesses]
@@ -415,9 +417,9 @@
 
 def choose_successors(
     owner: records.LeaseRecord,
-    holdings: dict[types.Slot, slots.Holding],
+    holdings: dict[types.Slot, slots.SlotAssignment],
     members: Iterable[records.LeaseRecord],
-) -> dict[types.Slot, slots.Holding]:
+) -> dict[types.Slot, slots.SlotAssignment]:
     """Returns the holdings with a live successor for each slot.
 
     Slots spread over all other members, outside the owner's data centre
@@ -441,15 +443,15 @@
     )[:_SUCCESSORS]
     if not names:
         return {
-            slot: msgspec.structs.replace(held, successor=types.NOBODY)
+            slot: msgspec.structs.replace(held, successor=types.NO_INCARNATION)
             for slot, held in holdings.items()
         }
     return _spread(holdings, names)
 
 
 def _spread(
-    holdings: dict[types.Slot, slots.Holding], names: Sequence[str]
-) -> dict[types.Slot, slots.Holding]:
+    holdings: dict[types.Slot, slots.SlotAssignment], names: Sequence[str]
+) -> dict[types.Slot, slots.SlotAssignment]:
     """Gives every candidate about as many slots to succeed to.
 
     Then a loss leaves the survivors even, and no further moves follow.
@@ -478,10 +480,10 @@
     }
 
 
-def rendezvous(item: object, candidates: Iterable[str]) -> str:
+def choose_by_rendezvous(item: object, candidates: Iterable[str]) -> str:
     """Returns the candidate with the highest score, or nobody."""
     return max(
         candidates,
         key=lambda name: score(item, name),
-        default=types.NOBODY,
+        default=types.NO_INCARNATION,
     )
--- a/tamarackgap/placement/records.py
+++ b/tamarackgap/placement/records.py
@@ -8,7 +8,7 @@
 from tamarackgap.placement import slots
 
 LEASE_PREFIX = "lease/"
-FOUNDED_PREFIX = "founded/"
+SERVICE_PREFIX = "founded/"
 POLICY_PREFIX = "policy/"
 HISTORY_PREFIX = "history/"
 CHALLENGE_PREFIX = "challenge/"
@@ -44,7 +44,7 @@
     http_address: str
     epoch: types.Epoch = types.Epoch(0)
     witnesses: tuple[str, ...] = ()
-    runs: tuple[slots.Run, ...] = ()
+    runs: tuple[slots.SlotRange, ...] = ()
     lease_ms: int = 600
     linger_ms: int = 0
     accepting: bool = False
@@ -89,7 +89,7 @@
     change: str = ""
 
 
-class Founded(msgspec.Struct, frozen=True):
+class ServiceRecord(msgspec.Struct, frozen=True):
     """States that a service's slots have been given out once.
 
     Attributes:
@@ -189,9 +189,9 @@
     return LEASE_PREFIX + incarnation
 
 
-def founded_key(service: str) -> str:
+def service_key(service: str) -> str:
     """Returns the key of a service's founding row."""
-    return FOUNDED_PREFIX + service
+    return SERVICE_PREFIX + service
 
 
 def policy_key(service: str, data_centre: str) -> str:
@@ -218,13 +218,13 @@
 
 _KINDS: tuple[tuple[str, type[msgspec.Struct]], ...] = (
     (LEASE_PREFIX, LeaseRecord),
-    (FOUNDED_PREFIX, Founded),
+    (SERVICE_PREFIX, ServiceRecord),
     (POLICY_PREFIX, Policy),
     (CHALLENGE_PREFIX, Challenge),
 )
 
 
-class View:
+class TableView:
     """The newest rows known here, merged by revision.
 
     Rows come from reads of the table and from peers, in any order; a row
@@ -297,9 +297,9 @@
         """Iterates over all lease records."""
         return iter(list(self._leases.values()))
 
-    def founded(self, service: str) -> Founded | None:
+    def service_record(self, service: str) -> ServiceRecord | None:
         """Returns the founding row of a service, or None."""
-        return self._rows.get(founded_key(service), (0, None))[1]
+        return self._rows.get(service_key(service), (0, None))[1]
 
     def challenges(self) -> dict[str, Challenge]:
         """Returns the challenges, by the incarnation that is asked."""
@@ -312,11 +312,11 @@
 
     def services(self) -> set[str]:
         """Returns the names of all founded services."""
-        size = len(FOUNDED_PREFIX)
+        size = len(SERVICE_PREFIX)
         return {
             key[size:]
             for key, (_, value) in self._rows.items()
-            if key.startswith(FOUNDED_PREFIX) and value is not None
+            if key.startswith(SERVICE_PREFIX) and value is not None
         }
 
     def policy(self, service: str, data_centre: str) -> Policy:
--- a/tamarackgap/placement/routes.py
+++ b/tamarackgap/placement/slotowners.py
@@ -5,18 +5,18 @@
 from tamarackgap.placement import records
 
 
-class Route(msgspec.Struct, frozen=True):
+class SlotOwner(msgspec.Struct, frozen=True):
     """A slot's owner; of two routes the one with the higher fence holds."""
 
     owner: str
     fence: int
 
 
-class Routes:
+class SlotOwners:
     """Slot owners of all services. They only ever go forward by fence."""
 
     def __init__(self) -> None:
-        self._services: dict[str, dict[int, Route]] = {}
+        self._services: dict[str, dict[int, SlotOwner]] = {}
         self._version = 0
 
     @property
@@ -24,7 +24,7 @@
         """Rises with each route that was learnt."""
         return self._version
 
-    def learn(self, service: str, slot: int, route: Route) -> bool:
+    def update(self, service: str, slot: int, route: SlotOwner) -> bool:
         """Takes a route in; returns whether it was news."""
         known = self._services.setdefault(service, {})
         present = known.get(slot)
@@ -34,21 +34,21 @@
         self._version += 1
         return True
 
-    def learn_record(self, record: records.LeaseRecord) -> int:
+    def update_from_record(self, record: records.LeaseRecord) -> int:
         """Takes all routes of a lease record in; returns how many were new."""
         return sum(
-            self.learn(
-                record.service, slot, Route(record.incarnation, run.fence)
+            self.update(
+                record.service, slot, SlotOwner(record.incarnation, run.fence)
             )
             for run in record.runs
             for slot in range(run.first, run.last + 1)
         )
 
-    def find(self, service: str, slot: int) -> Route | None:
+    def find(self, service: str, slot: int) -> SlotOwner | None:
         """Returns a slot's route, or None where none is known."""
         return self._services.get(service, {}).get(slot)
 
-    def counts(self, service: str) -> dict[str, int]:
+    def slot_counts(self, service: str) -> dict[str, int]:
         """Returns how many slots each owner has."""
         totals: dict[str, int] = {}
         for route in self._services.get(service, {}).values():
--- a/tamarackgap/placement/slots.py
+++ b/tamarackgap/placement/slots.py
@@ -9,10 +9,10 @@
 
 # Keys of an ordered service have positions below this, and neighbouring keys
 # share a slot.
-POSITIONS = 65_536
+POSITION_COUNT = 65_536
 
 
-class Run(msgspec.Struct, array_like=True, frozen=True, order=True):
+class SlotRange(msgspec.Struct, array_like=True, frozen=True, order=True):
     """Neighbouring slots with the same fence and successor.
 
     Attributes:
@@ -27,19 +27,19 @@
     first: int
     last: int
     fence: int
-    successor: str = types.NOBODY
+    successor: str = types.NO_INCARNATION
     handover: str = ""
 
 
-class Holding(msgspec.Struct, array_like=True, frozen=True):
+class SlotAssignment(msgspec.Struct, array_like=True, frozen=True):
     """One slot's fence, successor and handover."""
 
     fence: int
-    successor: str = types.NOBODY
+    successor: str = types.NO_INCARNATION
     handover: str = ""
 
 
-def slot_of(key: types.Key, slot_count: int) -> types.Slot:
+def slot_of_key(key: types.Key, slot_count: int) -> types.Slot:
     """Returns the slot of a key.
 
     Args:
@@ -50,34 +50,36 @@
     return types.Slot(digest & (slot_count - 1))
 
 
-def slot_at(position: int, slot_count: int) -> types.Slot:
+def slot_of_position(position: int, slot_count: int) -> types.Slot:
     """Returns the slot of a key of an ordered service.
 
     Args:
-        position: The key's position, in [0, POSITIONS).
+        position: The key's position, in [0, POSITION_COUNT).
         slot_count: Number of slots of the service; a power of two.
     """
-    return types.Slot(position * slot_count // POSITIONS)
+    return types.Slot(position * slot_count // POSITION_COUNT)
 
 
-def positions(run: Run, slot_count: int) -> tuple[int, int]:
+def position_range(run: SlotRange, slot_count: int) -> tuple[int, int]:
     """Returns the first and the last position of the keys of a run."""
-    width = POSITIONS // slot_count
+    width = POSITION_COUNT // slot_count
     return run.first * width, (run.last + 1) * width - 1
 
 
-def expand(runs: Iterable[Run]) -> dict[types.Slot, Holding]:
+def expand(runs: Iterable[SlotRange]) -> dict[types.Slot, SlotAssignment]:
     """Returns each slot's holding, from runs."""
     return {
-        types.Slot(slot): Holding(run.fence, run.successor, run.handover)
+        types.Slot(slot): SlotAssignment(run.fence, run.successor, run.handover)
         for run in runs
         for slot in range(run.first, run.last + 1)
     }
 
 
-def compress(holdings: dict[types.Slot, Holding]) -> tuple[Run, ...]:
+def compress(
+    holdings: dict[types.Slot, SlotAssignment],
+) -> tuple[SlotRange, ...]:
     """Returns the shortest sorted runs that hold the same as `holdings`."""
-    runs: list[Run] = []
+    runs: list[SlotRange] = []
     for slot in sorted(holdings):
         held = holdings[slot]
         last = runs[-1] if runs else None
@@ -91,6 +93,6 @@
             runs[-1] = msgspec.structs.replace(last, last=slot)
         else:
             runs.append(
-                Run(slot, slot, held.fence, held.successor, held.handover)
+                SlotRange(slot, slot, held.fence, held.successor, held.handover)
             )
     return tuple(runs)
--- a/tamarackgap/platform/requests.py
+++ b/tamarackgap/platform/requests.py
@@ -62,7 +62,7 @@
                 return result.Failure(f"timeout {value!r}: no whole number")
             timeout = int(value) / 1000
         elif name == names.POSITION:
-            if not value.isdigit() or int(value) >= slots.POSITIONS:
+            if not value.isdigit() or int(value) >= slots.POSITION_COUNT:
                 return result.Failure(f"key {value!r}: not in range")
             position = int(value)
         if name not in _NOT_PASSED_ON and name not in named:
@@ -86,11 +86,11 @@
     """Returns a call's bytes for the server beside this daemon."""
     call = dispatch.call
     head = (
-        f"{call.method} {call.target} HTTP/1.1\r\n".encode("latin-1"),
+        f"{call.method} {call.request_target} HTTP/1.1\r\n".encode("latin-1"),
         call.head,
         b"%b: %d\r\n" % (names.TIMEOUT_MS, left_ms),
         b"%b: %b\r\n" % (names.INSTANCE_WANTED, instance.encode("latin-1")),
-        b"%b: %b\r\n" % (names.ORIGIN, call.origin.encode("latin-1")),
+        b"%b: %b\r\n" % (names.ORIGIN, call.caller_service.encode("latin-1")),
         b"content-length: %d\r\n\r\n" % len(call.body),
         call.body,
     )
--- a/tamarackgap/processes/daemon.py
+++ b/tamarackgap/processes/daemon.py
@@ -12,7 +12,7 @@
 from tamarackgap import logs, metrics
 from tamarackgap.network import httpclient, scheduler, sockets
 from tamarackgap.ownership import effects, ownership
-from tamarackgap.peers import messages, peers
+from tamarackgap.peers import messages, transport
 from tamarackgap.processes import protocol
 from tamarackgap.requests import (
     entry,
@@ -74,7 +74,7 @@
             self._busy,
             clock(),
         )
-        self._peers = peers.Peers(
+        self._peers = transport.PeerTransport(
             self._poller,
             self._timers,
             settings.daemon_deployment,
@@ -227,38 +227,38 @@
                 self._owner.take(
                     forward, functools.partial(self._reply, envelope.address)
                 )
-            case messages.Outcome() as outcome:
+            case messages.ForwardReply() as outcome:
                 self._entry.answered(outcome)
             case messages.Cancel(leg=leg):
                 self._owner.cancel(leg)
-            case messages.Crashed() as crashed:
+            case messages.CrashReport() as crashed:
                 self._learn_crashed(crashed)
             case _:
                 self._core.receive(envelope, time.monotonic())
                 self._carry_out()
 
-    def _tell_crashed(self, crashed: messages.Crashed) -> None:
+    def _tell_crashed(self, crashed: messages.CrashReport) -> None:
         for record in self._core.view.members(self._settings.daemon_service):
             if record.incarnation != self._core.incarnation:
                 self._peers.send(
                     self._core.incarnation, record.peer_address, crashed
                 )
 
-    def _learn_crashed(self, crashed: messages.Crashed) -> None:
+    def _learn_crashed(self, crashed: messages.CrashReport) -> None:
         standing = suspects.Standing.SUSPECTED
-        if crashed.alone:
+        if crashed.exclusive:
             standing = suspects.Standing.CONVICTED
-        for content in crashed.contents:
+        for content in crashed.fingerprints:
             self._suspects.note(content, standing, time.monotonic())
 
-    def _reply(self, address: str, outcome: messages.Outcome) -> None:
+    def _reply(self, address: str, outcome: messages.ForwardReply) -> None:
         self._peers.send(self._core.incarnation, address, outcome)
 
     # The table.
 
     def _was_read(self) -> None:
         addresses = {record.peer_address for record in self._core.view.leases()}
-        self._peers.keep(addresses)
+        self._peers.set_peers(addresses)
         self._carry_out()
 
     def _committed(
@@ -340,13 +340,13 @@
             "table_writes": self._table.writes,
             "peer_messages_sent": self._peers.sent_messages,
             "peer_bytes_sent": self._peers.sent_bytes,
-            "peer_messages_dropped": self._peers.dropped,
-            "peer_frames_malformed": self._peers.malformed,
+            "peer_messages_dropped": self._peers.dropped_messages,
+            "peer_frames_malformed": self._peers.malformed_frames,
             "renewal_lateness_seconds": self._core.renewal_lateness,
             "loop_pause_seconds": self._longest_turn,
         }
         for name, value in values.items():
-            self._metrics.set(name, value)
+            self._metrics.set_gauge(name, value)
 
 
 def _wall_ms() -> int:
--- a/tamarackgap/processes/neighbours.py
+++ b/tamarackgap/processes/neighbours.py
@@ -5,7 +5,7 @@
 from tamarackgap import logs, types
 from tamarackgap.network import scheduler
 from tamarackgap.ownership import ownership
-from tamarackgap.peers import calls, messages, peers
+from tamarackgap.peers import calls, messages, transport
 from tamarackgap.traffic import crashes, dispatcher, routetable, runner
 
 # Each daemon tells all others of its target so often. With more daemons it is
@@ -44,7 +44,7 @@
     def __init__(
         self,
         core: ownership.Ownership,
-        links: peers.Peers,
+        links: transport.PeerTransport,
         run: runner.Runner,
         entry: dispatcher.Dispatcher,
         crashed: crashes.Crashes,
@@ -82,17 +82,17 @@
     def receive(self, envelope: messages.Envelope) -> bool:
         """Takes a message in; returns whether it was for this part."""
         match envelope.message:
-            case calls.Status() as status:
+            case calls.TargetStatus() as status:
                 self._entry.heard(envelope.sender, envelope.address, status)
                 self._heard_version(status.version, envelope.address)
             case calls.TargetCrash() as news:
                 self._note_crash(news)
-            case calls.ContentCleared(content=content):
+            case calls.ContentCleared(fingerprint=content):
                 self._crashes.clear(content)
-            case calls.TableWanted():
+            case calls.RouteTableRequest():
                 table = self._table()
                 if table is not None:
-                    news = calls.TableNews(table.source)
+                    news = calls.RouteTableUpdate(table.source)
                     self._send(envelope.address, news)
             case _:
                 return False
@@ -134,7 +134,7 @@
         news = calls.TargetCrash(
             {content: (now - begun, now - end) for content, begun, end in ended}
         )
-        logs.event("target_crashed", contents=len(news.contents))
+        logs.event("target_crashed", contents=len(news.fingerprints))
         self._note_crash(news)
         self._tell(news)
 
@@ -147,10 +147,10 @@
         self.tell_status()
         self._timers.after(self._interval, self._tell_regularly)
 
-    def _status(self) -> calls.Status:
+    def _status(self) -> calls.TargetStatus:
         queue = self._runner.queue
         table = self._table()
-        return calls.Status(
+        return calls.TargetStatus(
             types.ServiceName(self._core.settings.service),
             self._runner.accepting,
             queue.capacity,
@@ -165,7 +165,7 @@
 
     def _note_crash(self, news: calls.TargetCrash) -> None:
         now = self._timers.now
-        for content, (begun, ended) in news.contents.items():
+        for content, (begun, ended) in news.fingerprints.items():
             if self._crashes.note(content, now - begun, now - ended):
                 logs.event(
                     "content_barred", content=content, s=crashes.BARRED_S
@@ -178,7 +178,7 @@
         now = self._timers.now
         if version > known and now - self._asked_table > _ASK_TABLE_S:
             self._asked_table = now
-            self._send(address, calls.TableWanted())
+            self._send(address, calls.RouteTableRequest())
 
     def _tell(self, message: messages.Message) -> None:
         own = self._core.settings.peer_address
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -15,7 +15,7 @@
 from tamarackgap import logs, metrics, types
 from tamarackgap.network import door, exchanges, httplink, scheduler, sockets
 from tamarackgap.ownership import effects, ownership
-from tamarackgap.peers import calls, messages, peers
+from tamarackgap.peers import calls, messages, transport
 from tamarackgap.placement import records
 from tamarackgap.processes import neighbours, protocol, routerpages
 from tamarackgap.requests import retries
@@ -145,7 +145,7 @@
             lease,
             settings.router_longest_hold / 1000,
         )
-        self._peers = peers.Peers(
+        self._peers = transport.PeerTransport(
             self.poller,
             self.timers,
             settings.daemon_deployment,
@@ -233,12 +233,12 @@
         if self._index is None:
             incoming.answer(_UNAVAILABLE, [(b"retry-after", _RETRY_S)], b"")
             return
-        route = self._index.find(asked.host, asked.call.target)
+        route = self._index.find(asked.host, asked.call.request_target)
         if route is None:
             logs.request_event(
                 "request_without_route",
                 True,
-                request=asked.call.request,
+                request=asked.call.request_id,
                 host=asked.host,
                 version=self._table.version,
             )
@@ -392,7 +392,7 @@
         self._core.read(_readable(rows), revision, now(), as_of)
         members = self._core.view.members()
         linked = {record.peer_address for record in members}
-        self._peers.keep(linked | self._entry.addresses())
+        self._peers.set_peers(linked | self._entry.addresses())
         self._outside.store.pace(neighbours.read_pause(len(members)))
         self._budgets.share(len(members))
         self._carry_out()
@@ -444,7 +444,7 @@
                 self._entry.completed(sender, completion)
             case calls.Withdraw(leg=leg):
                 self._runner.withdraw(sender, leg)
-            case calls.TableNews(source=source):
+            case calls.RouteTableUpdate(source=source):
                 table = self._outside.decode_table(source)
                 if table is not None:
                     self._table_changed(table)
@@ -498,7 +498,7 @@
                         ),
                     )
                 case effects.Decision(event=event, fields=fields):
-                    self._metrics.event(event)
+                    self._metrics.count_event(event)
                     logs.event(
                         event, incarnation=self._core.incarnation, **fields
                     )
@@ -520,21 +520,21 @@
     ) -> None:
         reason = completion.reason.value if completion.reason else ""
         elapsed = self.timers.now - flight.begun
-        self._metrics.request(
+        self._metrics.observe_request(
             completion.verdict.value, reason, elapsed, flight.route.name
         )
         if flight.runs > 1:
-            self._metrics.event("request_rerun")
+            self._metrics.count_event("request_rerun")
 
     def _observe_call(self, verdict: types.Verdict, seconds: float) -> None:
-        self._metrics.leg(verdict.value, seconds)
+        self._metrics.observe_leg(verdict.value, seconds)
 
     def _gauges(self) -> dict[str, float]:
         return {
             "peer_messages_sent": self._peers.sent_messages,
             "peer_bytes_sent": self._peers.sent_bytes,
-            "peer_messages_dropped": self._peers.dropped,
-            "peer_frames_malformed": self._peers.malformed,
+            "peer_messages_dropped": self._peers.dropped_messages,
+            "peer_frames_malformed": self._peers.malformed_frames,
             "open_connections": self._door.connections,
         }
 
@@ -648,7 +648,7 @@
     found = []
     for row in rows:
         try:
-            records.View().merge([row])
+            records.TableView().merge([row])
         except msgspec.MsgspecError as error:
             logs.event("row_malformed", key=row.key, error=str(error))
         else:
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -165,9 +165,11 @@
 def _explain(parts: Parts, query: dict[str, str]) -> reports.Explanation:
     service = query["service"]
     position = int(query["key"])
-    if not 0 <= position < slots.POSITIONS:
-        raise ValueError(f"key {position} is not below {slots.POSITIONS}")
-    slot = slots.slot_at(position, reports.slot_count(parts.core, service))
+    if not 0 <= position < slots.POSITION_COUNT:
+        raise ValueError(f"key {position} is not below {slots.POSITION_COUNT}")
+    slot = slots.slot_of_position(
+        position, reports.slot_count(parts.core, service)
+    )
     found = reports.explanation(
         parts.core, service, query["key"], slot, parts.clock()
     )
@@ -195,8 +197,8 @@
         **parts.gauges(),
     }
     for name, value in values.items():
-        parts.metrics.set(name, value)
-    parts.metrics.store_calls(parts.store.counts())
+        parts.metrics.set_gauge(name, value)
+    parts.metrics.set_store_calls(parts.store.counts())
     body, headers = parts.metrics.render("text/plain")
     said = [
         (name.lower().encode("ascii"), value.encode("ascii"))
--- a/tamarackgap/requests/entry.py
+++ b/tamarackgap/requests/entry.py
@@ -11,8 +11,8 @@
 from tamarackgap import logs, metrics, types, verdicts
 from tamarackgap.network import scheduler
 from tamarackgap.ownership import ownership
-from tamarackgap.peers import messages, peers
-from tamarackgap.placement import routes, slots
+from tamarackgap.peers import messages, transport
+from tamarackgap.placement import slotowners, slots
 from tamarackgap.requests import owner as owner_lib
 from tamarackgap.requests import retries
 
@@ -85,7 +85,7 @@
         self.deadline = now + request.timeout
         self.done: Done | None = done
         self.leg = ""
-        self.route: routes.Route | None = None
+        self.route: slotowners.SlotOwner | None = None
         self.attempts = 0
         self.backoff = _BACKOFF_S
         self.timer: scheduler.Timer | None = None
@@ -103,7 +103,7 @@
         self,
         core: ownership.Ownership,
         own: owner_lib.Owner,
-        links: peers.Peers,
+        links: transport.PeerTransport,
         timers: scheduler.Scheduler,
         budget: retries.RetryBudget,
         rng: random.Random,
@@ -137,7 +137,7 @@
 
     def knows(self, service: str) -> bool:
         """Returns whether a service exists."""
-        return self._core.view.founded(service) is not None
+        return self._core.view.service_record(service) is not None
 
     def begin(self, request: Request, done: Done) -> Flight:
         """Serves a request.
@@ -149,8 +149,8 @@
         Returns:
             The flight, for `cancel`.
         """
-        founded = self._core.view.founded(request.service)
-        slot = slots.slot_of(types.Key(request.key), founded.slots)
+        service_record = self._core.view.service_record(request.service)
+        slot = slots.slot_of_key(types.Key(request.key), service_record.slots)
         flight = Flight(request, slot, self._timers.now, done)
         self._open += 1
         self._budget.deposit()
@@ -169,7 +169,7 @@
         self._cancel_leg(flight)
         self._finish(flight, self._unfinished(flight))
 
-    def answered(self, outcome: messages.Outcome) -> None:
+    def answered(self, outcome: messages.ForwardReply) -> None:
         """Takes an owner's answer in; one that comes late is dropped."""
         flight = self._flights.pop(outcome.leg, None)
         if flight is None:
@@ -177,8 +177,10 @@
             return
         flight.leg = ""
         if outcome.owner:
-            route = routes.Route(outcome.owner, outcome.fence)
-            self._core.routes.learn(flight.request.service, flight.slot, route)
+            route = slotowners.SlotOwner(outcome.owner, outcome.fence)
+            self._core.slot_owners.update(
+                flight.request.service, flight.slot, route
+            )
         if outcome.verdict is types.Verdict.ANSWERED:
             answer = verdicts.answered(
                 outcome.status, outcome.content_type, outcome.body
@@ -204,7 +206,7 @@
     def _try(self, flight: Flight) -> None:
         if flight.done is None:
             return
-        route = self._core.routes.find(flight.request.service, flight.slot)
+        route = self._core.slot_owners.find(flight.request.service, flight.slot)
         flight.route = route
         if route is None:
             self._refuse_here(flight, types.Reason.NO_OWNER)
@@ -225,12 +227,14 @@
             flight.leg = ""
             self._refuse_here(flight, types.Reason.PEER_UNREACHABLE)
 
-    def _forward(self, flight: Flight, route: routes.Route) -> messages.Forward:
+    def _forward(
+        self, flight: Flight, route: slotowners.SlotOwner
+    ) -> messages.Forward:
         request = flight.request
         return messages.Forward(
             owner=route.owner,
             leg=f"{self._rng.getrandbits(64):016x}",
-            request=request.request,
+            request_id=request.request,
             service=request.service,
             key=request.key,
             slot=flight.slot,
@@ -320,7 +324,7 @@
         verdict = refusal.verdict if refusal else types.Verdict.ANSWERED
         reason = refusal.reason.value if refusal else ""
         elapsed = self._timers.now - flight.begun
-        self._metrics.request(verdict.value, reason, elapsed)
+        self._metrics.observe_request(verdict.value, reason, elapsed)
         route = flight.route
         logs.event(
             "request",
@@ -330,7 +334,7 @@
             slot=flight.slot,
             owner=route.owner if route else "",
             fence=route.fence if route else 0,
-            route_version=self._core.routes.version,
+            route_version=self._core.slot_owners.version,
             attempts=flight.attempts,
             verdict=verdict.value,
             reason=reason,
--- a/tamarackgap/requests/granting.py
+++ b/tamarackgap/requests/granting.py
@@ -44,7 +44,7 @@
         if until <= self._clock() or not (grown or version != self._version):
             return
         holdings = {
-            slot: slots.Holding(held.fence)
+            slot: slots.SlotAssignment(held.fence)
             for slot, held in self._core.owned.items()
         }
         grant = target.Grant(
--- a/tamarackgap/requests/owner.py
+++ b/tamarackgap/requests/owner.py
@@ -10,14 +10,14 @@
 from tamarackgap.network import scheduler
 from tamarackgap.ownership import ownership
 from tamarackgap.peers import messages
-from tamarackgap.placement import heat, records, slots
+from tamarackgap.placement import loadstats, records, slots
 from tamarackgap.requests import fitness, limiter, memory, suspects, target
 
 # A grant must have ended at the target before a successor begins.
 _LEASE_MARGIN_S = 0.02
 _HOT_KEYS = 5
 
-Reply = Callable[[messages.Outcome], None]
+Reply = Callable[[messages.ForwardReply], None]
 
 
 class Leg(msgspec.Struct):
@@ -51,7 +51,7 @@
         beside: target.Target,
         remembered: memory.Memory,
         suspected: suspects.Suspects,
-        crashed: Callable[[messages.Crashed], None],
+        crashed: Callable[[messages.CrashReport], None],
         clock: scheduler.Clock,
         wall_ms: Callable[[], int],
         counters: metrics.Metrics,
@@ -74,8 +74,8 @@
         self._suspects = suspected
         self._crashed = crashed
         self._fitness = fitness.Fitness()
-        self._meter = heat.SlotMeter(clock())
-        self._hot_keys = heat.HotKeys(clock())
+        self._meter = loadstats.SlotMeter(clock())
+        self._hot_keys = loadstats.HotKeySketch(clock())
         self._clock = clock
         self._wall_ms = wall_ms
         self._metrics = counters
@@ -106,7 +106,7 @@
         since = {slot: held.since for slot, held in self._core.owned.items()}
         return self._meter.rates(since, self._clock())
 
-    def hottest(self) -> list[heat.HotKey]:
+    def hottest(self) -> list[loadstats.HotKey]:
         """Returns the keys that bring most load."""
         return self._hot_keys.hottest(_HOT_KEYS)
 
@@ -163,10 +163,10 @@
         if forward.owner != self._core.incarnation:
             return types.Reason.WRONG_OWNER
         service = self._core.settings.service
-        founded = self._core.view.founded(service)
-        if forward.service != service or founded is None:
+        service_record = self._core.view.service_record(service)
+        if forward.service != service or service_record is None:
             return types.Reason.WRONG_OWNER
-        if slots.slot_of(forward.key, founded.slots) != forward.slot:
+        if slots.slot_of_key(forward.key, service_record.slots) != forward.slot:
             return types.Reason.BAD_REQUEST
         refusal = self._core.refusal(forward.slot, self._clock())
         if refusal is None and self._target.announcement is None:
@@ -179,7 +179,7 @@
         wall_ms = self._wall_ms()
         held_ms = int((self._clock() - held.since) * 1000)
         known = self._memory.look(
-            forward.request,
+            forward.request_id,
             forward.attempt,
             forward.first_sent_ms,
             wall_ms - held_ms,
@@ -189,7 +189,7 @@
             case memory.Known.FRESH:
                 return None
             case memory.Known.FINISHED:
-                return self._memory.outcome(forward.request)
+                return self._memory.outcome(forward.request_id)
             case memory.Known.IN_PROGRESS:
                 return verdicts.may_have_run(types.Reason.IN_PROGRESS)
             case memory.Known.UNKNOWN:
@@ -215,14 +215,14 @@
             if repeat is not None:
                 self._finish(leg, repeat)
                 return
-            self._memory.begin(forward.request, self._wall_ms())
+            self._memory.begin(forward.request_id, self._wall_ms())
         self._busy[forward.slot] = self._busy.get(forward.slot, 0) + 1
         self._meter.count(forward.slot, now)
         self._hot_keys.count(forward.key, now)
         order = target.Order(forward, held.fence, self._run_until(leg))
         logs.event(
             "handed_over",
-            request=forward.request,
+            request=forward.request_id,
             key=forward.key,
             slot=forward.slot,
             owner=forward.owner,
@@ -251,7 +251,7 @@
         if left:
             self._busy[slot] = left
         if not leg.forward.idempotent:
-            self._memory.finish(leg.forward.request, outcome)
+            self._memory.finish(leg.forward.request_id, outcome)
         self._judge_target(leg, outcome)
         self._finish(leg, outcome)
 
@@ -275,7 +275,7 @@
         if not refusal.may_have_run:
             return
         if self._fitness.failed(now - leg.begun, now):
-            logs.event("target_unfit", request=leg.forward.request)
+            logs.event("target_unfit", request=leg.forward.request_id)
         if refusal.reason is types.Reason.TARGET_FAILED:
             self._suspect(leg, now)
 
@@ -287,12 +287,12 @@
         self._suspects.note(leg.content, standing, now)
         logs.event(
             "request_suspected",
-            request=leg.forward.request,
+            request=leg.forward.request_id,
             key=leg.forward.key,
             content=leg.content,
             standing=standing.value,
         )
-        self._crashed(messages.Crashed((leg.content,), leg.alone))
+        self._crashed(messages.CrashReport((leg.content,), leg.alone))
 
     def _finish(self, leg: Leg, outcome: verdicts.Result) -> None:
         self._answer(leg, outcome)
@@ -304,15 +304,15 @@
     def _answer(self, leg: Leg, outcome: verdicts.Result) -> None:
         self._legs.pop(leg.forward.leg, None)
         message = self._message(leg.forward, outcome)
-        self._metrics.leg(message.verdict.value)
+        self._metrics.observe_leg(message.verdict.value)
         leg.reply(message)
 
     def _message(
         self, forward: messages.Forward, outcome: verdicts.Result
-    ) -> messages.Outcome:
+    ) -> messages.ForwardReply:
         match outcome:
             case result.Success(verdicts.Answer() as answer):
-                return messages.Outcome(
+                return messages.ForwardReply(
                     forward.leg,
                     types.Verdict.ANSWERED,
                     status=answer.status,
@@ -320,12 +320,14 @@
                     body=answer.body,
                 )
             case result.Failure(verdicts.Refusal() as refusal):
-                route = self._core.routes.find(forward.service, forward.slot)
-                return messages.Outcome(
+                route = self._core.slot_owners.find(
+                    forward.service, forward.slot
+                )
+                return messages.ForwardReply(
                     forward.leg,
                     refusal.verdict,
                     refusal.reason,
-                    owner=route.owner if route else types.NOBODY,
+                    owner=route.owner if route else types.NO_INCARNATION,
                     fence=route.fence if route else 0,
                 )
         raise AssertionError(outcome)
--- a/tamarackgap/requests/pages.py
+++ b/tamarackgap/requests/pages.py
@@ -5,7 +5,7 @@
 from tamarackgap import types
 from tamarackgap.network import scheduler
 from tamarackgap.ownership import ownership, reports
-from tamarackgap.placement import heat, slots
+from tamarackgap.placement import loadstats, slots
 from tamarackgap.requests import entry, target, web
 from tamarackgap.requests import owner as owner_lib
 
@@ -50,7 +50,7 @@
     in_progress: int
     queued: int
     in_flight: int
-    hot_keys: list[heat.HotKey]
+    hot_keys: list[loadstats.HotKey]
     table_revision: int
     route_version: int
     pending: str
@@ -75,7 +75,9 @@
     def explain(query: dict[str, str]) -> bytes:
         service = query["service"]
         key = query["key"]
-        slot = slots.slot_of(types.Key(key), reports.slot_count(core, service))
+        slot = slots.slot_of_key(
+            types.Key(key), reports.slot_count(core, service)
+        )
         found = reports.explanation(core, service, key, slot, clock())
         return msgspec.json.encode(found)
 
@@ -109,6 +111,6 @@
         in_flight=front.in_flight,
         hot_keys=own.hottest(),
         table_revision=core.view.cursor,
-        route_version=core.routes.version,
+        route_version=core.slot_owners.version,
         pending=pending.kind.value if pending else "",
     )
--- a/tamarackgap/requests/target.py
+++ b/tamarackgap/requests/target.py
@@ -53,7 +53,7 @@
 
     owner: str
     until: float
-    runs: tuple[slots.Run, ...]
+    runs: tuple[slots.SlotRange, ...]
 
 
 class Order(msgspec.Struct, frozen=True):
@@ -222,7 +222,7 @@
     ) -> httpclient.Request:
         forward = order.forward
         headers = {
-            "X-Request-Id": forward.request,
+            "X-Request-Id": forward.request_id,
             "X-Run-Id": forward.leg,
             "X-Key": forward.key.encode("utf-8").hex(),
             "X-Slot": str(forward.slot),
--- a/tamarackgap/traffic/crashes.py
+++ b/tamarackgap/traffic/crashes.py
@@ -36,7 +36,14 @@
     """Returns a hash of what a call asks for, whatever its id."""
     position = str(call.position)
     return suspects.digest(
-        (service, call.origin, call.method, call.target, position), call.body
+        (
+            service,
+            call.caller_service,
+            call.method,
+            call.request_target,
+            position,
+        ),
+        call.body,
     )
 
 
--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -10,7 +10,7 @@
 from tamarackgap import logs, types
 from tamarackgap.network import scheduler
 from tamarackgap.ownership import ownership
-from tamarackgap.peers import calls, peers
+from tamarackgap.peers import calls, transport
 from tamarackgap.placement import slots
 from tamarackgap.requests import retries
 from tamarackgap.traffic import balancer, crashes, routetable, runner, targets
@@ -89,7 +89,7 @@
         self,
         core: ownership.Ownership,
         beside: runner.Runner,
-        links: peers.Peers,
+        links: transport.PeerTransport,
         timers: scheduler.Scheduler,
         budgets: retries.ServiceBudgets,
         rng: random.Random,
@@ -144,7 +144,9 @@
         """Returns the `ip:port` of all daemons that calls may be sent to."""
         return self._targets.addresses()
 
-    def heard(self, sender: str, address: str, status: calls.Status) -> None:
+    def heard(
+        self, sender: str, address: str, status: calls.TargetStatus
+    ) -> None:
         """Takes in what a daemon tells of itself."""
         for gone in self._targets.heard(sender, address, status):
             self._drop(gone)
@@ -261,14 +263,14 @@
     def _owner(self, flight: Flight) -> tuple[str, types.Reason | None]:
         position = flight.call.position
         if position is None:
-            return types.NOBODY, types.Reason.BAD_REQUEST
-        founded = self._core.view.founded(flight.service)
-        if founded is None:
-            return types.NOBODY, types.Reason.NO_OWNER
-        slot = slots.slot_at(position, founded.slots)
-        route = self._core.routes.find(flight.service, slot)
+            return types.NO_INCARNATION, types.Reason.BAD_REQUEST
+        service_record = self._core.view.service_record(flight.service)
+        if service_record is None:
+            return types.NO_INCARNATION, types.Reason.NO_OWNER
+        slot = slots.slot_of_position(position, service_record.slots)
+        route = self._core.slot_owners.find(flight.service, slot)
         if route is None or self._core.view.lease(route.owner) is None:
-            return types.NOBODY, types.Reason.NO_OWNER
+            return types.NO_INCARNATION, types.Reason.NO_OWNER
         return route.owner, None
 
     def _send(
@@ -498,7 +500,7 @@
         logs.request_event(
             "request",
             completion.verdict is not types.Verdict.ANSWERED,
-            request=flight.call.request,
+            request=flight.call.request_id,
             route=flight.route.name,
             rank=flight.route.rank,
             service=flight.service,
--- a/tamarackgap/traffic/handoff.py
+++ b/tamarackgap/traffic/handoff.py
@@ -36,7 +36,9 @@
         self._count += 1
         self._holds.released()
 
-    def _released(self, number: int, handovers: dict[slots.Run, str]) -> None:
+    def _released(
+        self, number: int, handovers: dict[slots.SlotRange, str]
+    ) -> None:
         # An earlier one may end when the lease was lost meanwhile.
         if number == self._count:
             self._done(handovers)
--- a/tamarackgap/traffic/keyholds.py
+++ b/tamarackgap/traffic/keyholds.py
@@ -82,11 +82,11 @@
     None,
 ]
 # Called with the handover of each run that the target has released.
-Released = Callable[[dict[slots.Run, str]], None]
+Released = Callable[[dict[slots.SlotRange, str]], None]
 
 
 class _Hold(msgspec.Struct):
-    run: slots.Run
+    run: slots.SlotRange
     asked_until: float = float("-inf")
     # When the last of all grants ends, whatever became of them.
     ends: float = float("-inf")
@@ -129,7 +129,7 @@
         self._order = order
         self._timers = timers
         self._step = lease * _STEP_SHARE
-        self._holds: dict[slots.Run, _Hold] = {}
+        self._holds: dict[slots.SlotRange, _Hold] = {}
         self._by_slot: dict[int, _Hold] = {}
         # Each slot's fence, and the grants under it without an answer.
         self._attempts: dict[int, tuple[int, int]] = {}
@@ -267,7 +267,7 @@
         """
         self._releasing = moving
         held = {
-            slot: slots.Holding(hold.fence)
+            slot: slots.SlotAssignment(hold.fence)
             for slot, hold in self._by_slot.items()
             if slot in moving
         }
@@ -277,13 +277,13 @@
             return
         # What is not answered ends by itself with the last hold.
         ends = max(self._by_slot[slot].ends for slot in held)
-        handovers: dict[slots.Run, str] = {}
+        handovers: dict[slots.SlotRange, str] = {}
         self._unreleased += len(left)
         for run in left:
             order = Release(
-                *slots.positions(run, self._slot_count()), run.fence
+                *slots.position_range(run, self._slot_count()), run.fence
             )
-            own = slots.Run(run.first, run.last, run.fence // FENCE_STEP)
+            own = slots.SlotRange(run.first, run.last, run.fence // FENCE_STEP)
             # A release waits for running work: it must not hold up grants.
             self._order(
                 order,
@@ -291,7 +291,7 @@
                 lambda ordered, run=own: answered(run, ordered),
             )
 
-        def answered(run: slots.Run, ordered: Ordered) -> None:
+        def answered(run: slots.SlotRange, ordered: Ordered) -> None:
             if not ordered.carried_out:
                 logs.event("release_unanswered", first=run.first, last=run.last)
                 wait = max(0.0, ends - self._timers.now)
@@ -299,7 +299,7 @@
             else:
                 finished(run, ordered.handover)
 
-        def finished(run: slots.Run, handover: str) -> None:
+        def finished(run: slots.SlotRange, handover: str) -> None:
             handovers[run] = handover
             self._unreleased -= 1
             if len(handovers) == len(left):
@@ -318,14 +318,16 @@
         Slots may be owned by then: rows that other daemons pass on come in
         any order.
         """
-        founded = self._core.view.founded(self._core.settings.service)
-        return founded.slots if founded is not None else 0
+        service_record = self._core.view.service_record(
+            self._core.settings.service
+        )
+        return service_record.slots if service_record is not None else 0
 
     def _follow(self) -> None:
         """Follows the slots owned; what was held stays held."""
         self._version = self._core.slots_version
         holdings = {
-            slot: slots.Holding(held.fence, handover=held.handover)
+            slot: slots.SlotAssignment(held.fence, handover=held.handover)
             for slot, held in self._core.owned.items()
         }
         before = self._by_slot
@@ -351,7 +353,7 @@
             for slot in range(run.first, run.last + 1):
                 self._by_slot[slot] = hold
 
-    def _unanswered(self, run: slots.Run) -> int:
+    def _unanswered(self, run: slots.SlotRange) -> int:
         counts = (
             self._attempts.get(slot, (0, 0))
             for slot in range(run.first, run.last + 1)
@@ -391,7 +393,7 @@
             return
         hold.asked_until = until
         hold.ends = max(hold.ends, until)
-        first, last = slots.positions(run, self._slot_count())
+        first, last = slots.position_range(run, self._slot_count())
         grant = Grant(first, last, hold.fence, hold_s, run.handover, until)
 
         def answered(ordered: Ordered) -> None:
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -11,7 +11,7 @@
 from tamarackgap.network import exchanges, httplink, scheduler
 from tamarackgap.ownership import ownership
 from tamarackgap.peers import calls
-from tamarackgap.placement import heat, slots
+from tamarackgap.placement import loadstats, slots
 from tamarackgap.traffic import admission, crashes, keyholds
 
 # A target ends a call at its deadline; its answer takes a little longer.
@@ -112,7 +112,7 @@
         self._legs: dict[tuple[str, int], Leg] = {}
         self._instance = ""
         self._leave_at = 0.0
-        self._meter = heat.SlotMeter(timers.now, core.settings.half_life)
+        self._meter = loadstats.SlotMeter(timers.now, core.settings.half_life)
         self._draining = False
         # Whether each key has one owner among the service's targets.
         self.keyed = False
@@ -252,7 +252,7 @@
             return None
         if dispatch.call.position is None:
             return types.Reason.BAD_REQUEST
-        if self._core.view.founded(self._service) is None:
+        if self._core.view.service_record(self._service) is None:
             return types.Reason.NO_OWNER
         slot = self._slot(dispatch)
         refusal = self._core.refusal(slot, now)
@@ -265,8 +265,10 @@
         return self._crashes.barred_for(content, now) > 0
 
     def _slot(self, dispatch: calls.Dispatch) -> types.Slot:
-        founded = self._core.view.founded(self._service)
-        return slots.slot_at(dispatch.call.position, founded.slots)
+        service_record = self._core.view.service_record(self._service)
+        return slots.slot_of_position(
+            dispatch.call.position, service_record.slots
+        )
 
     def rates(self) -> dict[int, float]:
         """Returns the load of each slot owned here, in usual calls a second.
@@ -290,7 +292,7 @@
             self._admission.finished(None, dispatch.aim, now)
             return
         leg.begun = now
-        request = dispatch.call.request
+        request = dispatch.call.request_id
         leg.exchange = self._link.send(
             functools.partial(self._encode, leg, self._instance),
             left + _GRACE_S,
@@ -423,7 +425,7 @@
         logs.request_event(
             "call",
             completion.verdict is not types.Verdict.ANSWERED,
-            request=leg.dispatch.call.request,
+            request=leg.dispatch.call.request_id,
             leg=leg.dispatch.leg,
             instance=self._instance,
             verdict=completion.verdict.value,
--- a/tamarackgap/traffic/targets.py
+++ b/tamarackgap/traffic/targets.py
@@ -32,7 +32,7 @@
         self._at: dict[str, set[str]] = {}
 
     def heard(
-        self, sender: str, address: str, status: calls.Status
+        self, sender: str, address: str, status: calls.TargetStatus
     ) -> list[str]:
         """Takes in what a daemon tells of itself.
 
--- a/tamarackgap/types.py
+++ b/tamarackgap/types.py
@@ -17,7 +17,7 @@
 # Seconds on one process's or VM's monotonic clock.
 Seconds = NewType("Seconds", float)
 
-NOBODY = Incarnation("")
+NO_INCARNATION = Incarnation("")
 
 
 class Verdict(enum.Enum):
--- a/tests/commands/test_cmdline.py
+++ b/tests/commands/test_cmdline.py
@@ -37,7 +37,11 @@
     founding = records.Transaction(
         "f",
         (),
-        (records.Write("founded/seats", records.encode(records.Founded(256))),),
+        (
+            records.Write(
+                "founded/seats", records.encode(records.ServiceRecord(256))
+            ),
+        ),
     )
     found.table.commit(founding)
     found.address = address
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -270,7 +270,7 @@
     found.run(3)
     clock = node.clock(found.now)
     until = node.core.lease_until()
-    late = messages.Granted(
+    late = messages.RenewReply(
         "earlier", node.core.epoch, clock + 60, True, OPEN, 0
     )
     for name in node.core.grants().witnesses:
@@ -585,7 +585,7 @@
         http_address=core.settings.http_address,
         lease_ms=600,
         linger_ms=0,
-        runs=(slots.Run(0, 3, 1),),
+        runs=(slots.SlotRange(0, 3, 1),),
     )
     row = records.Row(record.key, records.encode(record), types.Revision(9))
     core.merge([row], clock)
--- a/tests/peers/test_messages.py
+++ b/tests/peers/test_messages.py
@@ -7,10 +7,10 @@
 
 EXAMPLES = [
     messages.Renew("w", 3, 1.5, 7),
-    messages.Granted("o", 3, 1.5, True, types.WitnessState.RETIRED, 7),
-    messages.Sealed("o", 3, types.WitnessState.SEALED, 0.5),
-    messages.Claim("s", "o", (slots.Run(1, 2, 3),)),
-    messages.Outcome("leg", types.Verdict.NOT_RUN, types.Reason.NO_OWNER),
+    messages.RenewReply("o", 3, 1.5, True, types.WitnessState.RETIRED, 7),
+    messages.SealReply("o", 3, types.WitnessState.SEALED, 0.5),
+    messages.Claim("s", "o", (slots.SlotRange(1, 2, 3),)),
+    messages.ForwardReply("leg", types.Verdict.NOT_RUN, types.Reason.NO_OWNER),
 ]
 
 
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_transport.py
@@ -5,7 +5,7 @@
 
 from standins import ports
 from tamarackgap.network import sockets
-from tamarackgap.peers import messages, peers
+from tamarackgap.peers import messages, transport
 
 LARGEST = 10_000
 LINK_S = 5
@@ -30,7 +30,7 @@
         poller = module_types.SimpleNamespace(
             watch=lambda descriptor, flags, callback: None
         )
-        links = peers.Peers(
+        links = transport.PeerTransport(
             poller,
             Timers(),
             "test",
@@ -47,7 +47,7 @@
 def test_one_message_to_many_is_encoded_once(three, monkeypatch):
     (links, _, _), *others = three
     addresses = [address for _, address, _ in others]
-    links.keep(set(addresses))
+    links.set_peers(set(addresses))
     encoded = []
     encode = messages.encode
 
@@ -60,11 +60,11 @@
     while time.monotonic() < end and not all(got for _, _, got in others):
         # Nothing waits for a link that is not there yet.
         del encoded[:]
-        links.send_all("me", addresses, messages.Load(1.0))
+        links.send_all("me", addresses, messages.LoadReport(1.0))
         assert len(encoded) == 1
         time.sleep(0.02)
         for other, _, _ in others:
             other._readable(sockets.READABLE)
     for _, _, got in others:
-        assert got[0].message == messages.Load(1.0)
+        assert got[0].message == messages.LoadReport(1.0)
         assert got[0].sender == "me"
--- a/tests/placement/test_heat.py
+++ b/tests/placement/test_loadstats.py
@@ -1,10 +1,10 @@
 import pytest
 
-from tamarackgap.placement import heat
+from tamarackgap.placement import loadstats
 
 
 def test_a_steady_rate_is_found():
-    meter = heat.SlotMeter(0.0)
+    meter = loadstats.SlotMeter(0.0)
     for step in range(6000):
         now = step / 100
         meter.count(3, now)
@@ -17,14 +17,14 @@
 
 
 def test_a_slot_that_came_lately_is_not_too_low():
-    meter = heat.SlotMeter(0.0)
+    meter = loadstats.SlotMeter(0.0)
     for step in range(300):
         meter.count(1, 50 + step / 100)
     assert meter.rates({1: 50.0}, 53.0)[1] == pytest.approx(100, rel=0.1)
 
 
 def test_old_load_is_forgotten():
-    meter = heat.SlotMeter(0.0)
+    meter = loadstats.SlotMeter(0.0)
     for step in range(1000):
         meter.count(1, step / 100)
     assert meter.rates({1: 0.0}, 40.0)[1] < 20
@@ -32,7 +32,7 @@
 
 
 def test_a_hot_key_is_found_among_many():
-    keys = heat.HotKeys(0.0)
+    keys = loadstats.HotKeySketch(0.0)
     for number in range(4000):
         keys.count(f"k{number}", 1.0)
         if number % 4 == 0:
@@ -43,7 +43,7 @@
 
 
 def test_last_minutes_keys_are_forgotten():
-    keys = heat.HotKeys(0.0)
+    keys = loadstats.HotKeySketch(0.0)
     keys.count("old", 1.0)
     keys.count("new", 62.0)
     assert [hot.key for hot in keys.hottest(5)] == ["new"]
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -31,26 +31,26 @@
 def test_an_even_spread_moves_nothing():
     members = [member("a", range(85)), member("b", range(85, 171))]
     members.append(member("c", range(171, 256)))
-    assert placement.plan(256, members) == []
+    assert placement.plan_moves(256, members) == []
 
 
 def test_a_join_moves_only_the_fair_share():
     members = [member("a", range(128)), member("b", range(128, 256))]
     members.append(member("c", ()))
-    moves = placement.plan(256, members)
+    moves = placement.plan_moves(256, members)
     assert {move.destination for move in moves} == {"c"}
     assert len(moves) == placement.quotas(256, members)["c"]
 
 
 def test_weight_zero_empties_a_member():
     members = [member("a", range(8), 0), member("b", range(8, 16))]
-    moves = placement.plan(16, members)
+    moves = placement.plan_moves(16, members)
     assert [move.slot for move in moves] == list(range(8))
     assert {move.reason for move in moves} == {"weight-zero"}
 
 
 def test_nothing_moves_when_nobody_can_take_it():
-    assert placement.plan(16, [member("a", range(16), 0)]) == []
+    assert placement.plan_moves(16, [member("a", range(16), 0)]) == []
 
 
 def test_carrying_the_plan_out_ends_it():
@@ -63,10 +63,10 @@
             for name, held in owned.items()
         ]
 
-    for move in placement.plan(256, members()):
+    for move in placement.plan_moves(256, members()):
         owned[move.source].remove(move.slot)
         owned[move.destination].add(move.slot)
-    assert placement.plan(256, members()) == []
+    assert placement.plan_moves(256, members()) == []
 
 
 @pytest.mark.parametrize(("others", "chosen"), [(2, 1), (3, 3), (6, 3)])
@@ -101,7 +101,7 @@
 def test_successors_are_many_and_in_other_data_centres():
     owner = record("o", "a")
     rest = [owner, *(record(f"r{i}", "abc"[i % 3]) for i in range(6))]
-    holdings = {slot: slots.Holding(1) for slot in range(200)}
+    holdings = {slot: slots.SlotAssignment(1) for slot in range(200)}
     found = placement.choose_successors(owner, holdings, rest)
     counts = collections.Counter(held.successor for held in found.values())
     assert set(counts) == {"r1", "r2", "r4", "r5"}
@@ -111,7 +111,10 @@
 def test_a_successor_that_cannot_own_is_replaced():
     owner = record("o", "a")
     rest = [record("r1", "b"), record("r2", "b", accepting=False)]
-    holdings = {0: slots.Holding(1, "r2"), 1: slots.Holding(1, "r1")}
+    holdings = {
+        0: slots.SlotAssignment(1, "r2"),
+        1: slots.SlotAssignment(1, "r1"),
+    }
     found = placement.choose_successors(owner, holdings, rest)
     assert {held.successor for held in found.values()} == {"r1"}
 
@@ -136,7 +139,7 @@
                 for m in members
             ]
             mine = {s: rates.get(s, 0) for s in owned[giver.name]}
-            for move in placement.plan(64, now, mine):
+            for move in placement.plan_moves(64, now, mine):
                 if move.source == giver.name:
                     owned[giver.name].remove(move.slot)
                     owned[move.destination].add(move.slot)
@@ -175,19 +178,19 @@
         hot("c", range(12, 16), None),
     ]
     rates = dict.fromkeys(range(8), 112.5)
-    moves = placement.plan(16, members, rates)
+    moves = placement.plan_moves(16, members, rates)
     assert moves
     assert {move.destination for move in moves} == {"b"}
 
 
 def test_differences_that_may_be_chance_move_nothing():
     members = [hot("a", range(8), 24.0), hot("b", range(8, 16), 18.0)]
-    assert placement.plan(16, members, dict.fromkeys(range(8), 3.0)) == []
+    assert placement.plan_moves(16, members, dict.fromkeys(range(8), 3.0)) == []
 
 
 def test_weight_zero_empties_a_loaded_member_too():
     members = [hot("a", range(8), 80.0, weight=0), hot("b", range(8, 16), 80)]
-    moves = placement.plan(16, members, dict.fromkeys(range(8), 10.0))
+    moves = placement.plan_moves(16, members, dict.fromkeys(range(8), 10.0))
     assert sorted(move.slot for move in moves) == list(range(8))
 
 
@@ -212,7 +215,7 @@
 def test_a_lost_daemons_slots_go_to_a_bounded_number_of_others():
     owner = record("o", "a")
     rest = [record(f"r{i}", "bc"[i % 2]) for i in range(40)]
-    holdings = {slot: slots.Holding(1) for slot in range(200)}
+    holdings = {slot: slots.SlotAssignment(1) for slot in range(200)}
     found = placement.choose_successors(owner, holdings, rest)
     first = {held.successor for held in found.values()}
     assert len(first) == 8
@@ -227,4 +230,6 @@
     # With the loads of all owners unknown for the moment, numbers of slots
     # were evened out: a loss moved 46 slots where 24 were lost.
     members = [hot("a", range(20), None), hot("b", range(20, 24), None)]
-    assert placement.plan(24, members, dict.fromkeys(range(20), 9.0)) == []
+    assert (
+        placement.plan_moves(24, members, dict.fromkeys(range(20), 9.0)) == []
+    )
--- a/tests/placement/test_records.py
+++ b/tests/placement/test_records.py
@@ -13,14 +13,14 @@
 
 
 def test_a_row_never_goes_back():
-    view = records.View()
+    view = records.TableView()
     view.merge([lease_row("i", 5, epoch=2)])
     assert view.merge([lease_row("i", 4, epoch=1)]) == []
     assert view.lease("i").epoch == 2
 
 
 def test_a_deleted_row_stays_deleted():
-    view = records.View()
+    view = records.TableView()
     view.merge([records.Row("lease/i", None, 7)])
     view.merge([lease_row("i", 6)])
     assert view.lease("i") is None
@@ -28,7 +28,7 @@
 
 
 def test_a_place_without_a_row_has_the_services_default():
-    view = records.View()
+    view = records.TableView()
     row = records.encode(records.Policy(weight=7))
     view.merge([records.Row("policy/s/*", row, 1)])
     assert view.policy("s", "a").weight == 7
@@ -37,11 +37,11 @@
 
 def test_a_malformed_row_is_an_error():
     with pytest.raises(msgspec.ValidationError):
-        records.View().merge([records.Row("lease/i", '{"service": 4}', 1)])
+        records.TableView().merge([records.Row("lease/i", '{"service": 4}', 1)])
 
 
 def test_a_view_counts_as_read_only_after_a_read():
-    view = records.View()
+    view = records.TableView()
     view.merge([lease_row("i", 5)])
     assert not view.is_read
     view.advance(5)
@@ -50,7 +50,7 @@
 
 
 def test_members_follow_each_record_that_opens_or_closes():
-    view = records.View()
+    view = records.TableView()
     view.merge([lease_row("b", 1), lease_row("a", 2)])
     assert [record.incarnation for record in view.members("s")] == ["a", "b"]
     view.members().clear()
--- a/tests/placement/test_slots.py
+++ b/tests/placement/test_slots.py
@@ -7,13 +7,13 @@
 
 
 def test_a_key_always_has_the_same_slot():
-    assert slots.slot_of(types.Key("hall-7"), 256) == 125
-    assert slots.slot_of(types.Key("ghế-1"), 1) == 0
+    assert slots.slot_of_key(types.Key("hall-7"), 256) == 125
+    assert slots.slot_of_key(types.Key("ghế-1"), 1) == 0
 
 
 @pytest.mark.parametrize("count", [1, 2, 256, 65_536])
 def test_slots_are_within_range(count):
-    found = {slots.slot_of(types.Key(f"k{i}"), count) for i in range(500)}
+    found = {slots.slot_of_key(types.Key(f"k{i}"), count) for i in range(500)}
     assert all(0 <= slot < count for slot in found)
 
 
@@ -21,7 +21,7 @@
     strategies.dictionaries(
         strategies.integers(0, 60),
         strategies.builds(
-            slots.Holding,
+            slots.SlotAssignment,
             strategies.integers(1, 3),
             strategies.sampled_from(["", "a", "b"]),
         ),
@@ -35,6 +35,9 @@
 
 
 def test_neighbours_with_the_same_holding_make_one_run():
-    held = slots.Holding(3, "b")
+    held = slots.SlotAssignment(3, "b")
     runs = slots.compress({4: held, 5: held, 7: held})
-    assert runs == (slots.Run(4, 5, 3, "b"), slots.Run(7, 7, 3, "b"))
+    assert runs == (
+        slots.SlotRange(4, 5, 3, "b"),
+        slots.SlotRange(7, 7, 3, "b"),
+    )
--- a/tests/requests/test_suspects.py
+++ b/tests/requests/test_suspects.py
@@ -10,7 +10,7 @@
     values = {
         "owner": "o",
         "leg": "l",
-        "request": "r",
+        "request_id": "r",
         "service": "s",
         "key": "k",
         "slot": 1,
@@ -29,7 +29,7 @@
 
 def test_a_content_is_the_same_under_another_id_and_owner():
     first = suspects.fingerprint(forward())
-    again = forward(request="r2", leg="l2", owner="p", attempt=3)
+    again = forward(request_id="r2", leg="l2", owner="p", attempt=3)
     assert suspects.fingerprint(again) == first
 
 
@@ -71,7 +71,7 @@
 
 
 def test_messages_about_crashes_survive_the_wire():
-    crashed = messages.Crashed(("x",), alone=True)
+    crashed = messages.CrashReport(("x",), exclusive=True)
     envelope = messages.Envelope("d", "s", "a", crashed)
     assert messages.decode(messages.encode(envelope)) == envelope
-    assert msgspec.structs.asdict(crashed)["alone"]
+    assert msgspec.structs.asdict(crashed)["exclusive"]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -18,7 +18,7 @@
         "message_type": "request",
         **fields,
     }
-    return logs.line_of(message)
+    return logs.format_line(message)
 
 
 def test_a_line_is_pairs_of_key_and_value():
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -129,7 +129,7 @@
             return
         state, age = self.real[index].seal("o", 1, self.now)
         known = age if age != float("inf") else -1.0
-        answer = messages.Sealed("o", 1, state, known)
+        answer = messages.SealReply("o", 1, state, known)
         self.takeover.answered(str(index), answer, self.now)
         self.model[index] = self.spec._seal(wit)
 
--- a/tests/traffic/test_keyholds.py
+++ b/tests/traffic/test_keyholds.py
@@ -25,13 +25,13 @@
             call()
 
 
-class Founded:
+class ServiceRecord:
     slots = 256
 
 
-class View:
-    def founded(self, service):
-        return Founded
+class TableView:
+    def service_record(self, service):
+        return ServiceRecord
 
 
 class Core:
@@ -42,7 +42,7 @@
         self.owned = {}
         self.slots_version = 0
         self.lease = 1.0
-        self.view = View()
+        self.view = TableView()
         self.settings = effects.Settings("s", "d", "z", "p", "h")
 
     def own(self, first, last, fence, handover=""):
@@ -137,7 +137,7 @@
     assert holds.held(0, timers.now)
     assert not holds.held(9, timers.now)
     target.answer(handover="token")
-    assert released == [{slots.Run(8, 9, 1): "token"}]
+    assert released == [{slots.SlotRange(8, 9, 1): "token"}]
 
 
 def test_a_release_without_answer_waits_for_the_end_of_the_hold(subject):
@@ -335,12 +335,12 @@
 def test_slots_owned_before_the_founding_row_is_known_wait_for_it(subject):
     # Rows that daemons pass on come in any order.
     timers, core, target, holds = subject
-    core.view.founded = lambda service: None
+    core.view.service_record = lambda service: None
     core.own(0, 127, 3)
     holds.renew()
     assert target.orders == []
     assert not holds.held(5, timers.now)
-    core.view.founded = lambda service: Founded
+    core.view.service_record = lambda service: ServiceRecord
     holds.renew()
     target.answer()
     assert holds.held(5, timers.now)
--- a/tests/traffic/test_targets.py
+++ b/tests/traffic/test_targets.py
@@ -20,7 +20,7 @@
         "interval": 0.25,
         **changed,
     }
-    return calls.Status(**values)
+    return calls.TargetStatus(**values)
 
 
 @pytest.fixture
