--- a/bench/state.py
+++ b/bench/state.py
@@ -58,7 +58,7 @@
     tracemalloc.stop()
     begun = time.monotonic()
     loads = {record.incarnation: 50.0 for record in view.leases()}
-    members = planner.members(view, "service-0", loads)
+    members = planner.placement_members(view, "service-0", loads)
     placement.plan(_SLOTS, members)
     planned = time.monotonic() - begun
     return {
--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -26,7 +26,7 @@
     )
     rng = random.Random(number)
     member = ownership.Ownership(settings, rng, lambda slot: False, now)
-    member.accept(True)
+    member.set_target_state(True)
     return member
 
 
@@ -50,8 +50,10 @@
                 state = effects.CommitState.CONFLICT
                 if committed:
                     state = effects.CommitState.COMMITTED
-                member.committed(change.transaction.change, state, rows, now)
-            case effects.Decision(event=event, fields=fields):
+                member.handle_commit_result(
+                    change.transaction.change, state, rows, now
+                )
+            case effects.LogLine(event=event, fields=fields):
                 print(f"{now:5.2f} {member.settings.daemon} {event} {fields}")
 
 
@@ -66,8 +68,8 @@
         now = step * STEP_S
         for member in members.values():
             revision, rows = table.since(member.view.cursor)
-            member.read(list[records.Row](rows), revision, now)
-            member.served({}, now)
+            member.apply_table_read(list[records.Row](rows), revision, now)
+            member.report_load({}, now)
             member.tick(now)
             carry_out(member, members, table, now)
     for member in members.values():
--- a/tamarackgap/commands/control.py
+++ b/tamarackgap/commands/control.py
@@ -212,7 +212,7 @@
     builder = changes.Builder(view, f"lost-{time.time_ns():x}")
     for record in lost:
         builder.close(record, slots.expand(record.runs))
-    change = builder.build(changes.Kind.VOUCH, "lost")
+    change = builder.build(changes.ChangeKind.CLOSE_GONE, "lost")
     status = _put(address, msgspec.json.encode(change.transaction))
     if status == 409:
         raise exceptions.ConflictError(f"{daemon}: its record has changed")
--- a/tamarackgap/ownership/changes.py
+++ b/tamarackgap/ownership/changes.py
@@ -9,19 +9,19 @@
 from tamarackgap.placement import placement, records, slots
 
 
-class Kind(enum.Enum):
+class ChangeKind(enum.Enum):
     """What a transaction is for."""
 
     JOIN = "join"
-    FLAG = "flag"
-    VOUCH = "vouch"
-    FOUND = "found"
+    UPDATE_FLAGS = "flag"
+    CLOSE_GONE = "vouch"
+    CREATE_SERVICE = "found"
     CLAIM = "claim"
     RECONFIGURE = "reconfigure"
     LEAVE = "leave"
     CHALLENGE = "challenge"
-    ANSWER = "answer"
-    CONDEMN = "condemn"
+    ANSWER_CHALLENGE = "answer"
+    CLOSE_UNANSWERED = "condemn"
 
 
 class Change(msgspec.Struct, frozen=True):
@@ -33,12 +33,12 @@
         reason: The cause, for the log.
     """
 
-    kind: Kind
+    kind: ChangeKind
     transaction: records.Transaction
     reason: str
 
 
-class Gain(msgspec.Struct, frozen=True):
+class SlotClaim(msgspec.Struct, frozen=True):
     """Slots to take from another incarnation's record.
 
     Attributes:
@@ -89,7 +89,7 @@
         self.check(record.key)
         self._writes[record.key] = records.Write(record.key, None)
 
-    def put_founded(self, service: str, slot_count: int) -> None:
+    def put_service_record(self, service: str, slot_count: int) -> None:
         """Writes a service's founding row, if there is none yet."""
         key = records.founded_key(service)
         self.check(key)
@@ -112,7 +112,7 @@
         self.check(key)
         self._writes[key] = records.Write(key, None)
 
-    def build(self, kind: Kind, reason: str) -> Change:
+    def build(self, kind: ChangeKind, reason: str) -> Change:
         """Returns the finished change."""
         transaction = records.Transaction(
             self._change,
@@ -122,7 +122,7 @@
         return Change(kind, transaction, reason)
 
 
-def own_record(
+def with_assignments(
     record: records.LeaseRecord,
     holdings: dict[types.Slot, slots.Holding],
     members: Iterable[records.LeaseRecord],
@@ -132,7 +132,7 @@
     return msgspec.structs.replace(record, runs=slots.compress(placed))
 
 
-def found(
+def create_service(
     view: records.View,
     mine: records.LeaseRecord,
     slot_count: int,
@@ -150,16 +150,18 @@
             gets all, and spreads them.
     """
     builder = Builder(view, change)
-    builder.put_founded(mine.service, slot_count)
+    builder.put_service_record(mine.service, slot_count)
     if share:
         _share(builder, view, mine, slot_count)
-        return builder.build(Kind.FOUND, "no-slots-given-out-yet")
+        return builder.build(
+            ChangeKind.CREATE_SERVICE, "no-slots-given-out-yet"
+        )
     holdings = {
         types.Slot(slot): slots.Holding(1) for slot in range(slot_count)
     }
     members = view.members(mine.service)
-    builder.put(own_record(mine, holdings, members))
-    return builder.build(Kind.FOUND, "no-slots-given-out-yet")
+    builder.put(with_assignments(mine, holdings, members))
+    return builder.build(ChangeKind.CREATE_SERVICE, "no-slots-given-out-yet")
 
 
 def _share(
@@ -176,13 +178,13 @@
         holdings = {
             types.Slot(slot): slots.Holding(1) for slot in range(first, end)
         }
-        builder.put(own_record(owner, holdings, members))
+        builder.put(with_assignments(owner, holdings, members))
 
 
 def claim(
     view: records.View,
     mine: records.LeaseRecord,
-    gains: Iterable[Gain],
+    gains: Iterable[SlotClaim],
     change: str,
 ) -> Change:
     """Takes slots from records whose epochs are over, and closes those."""
@@ -205,7 +207,7 @@
     # Successors of slots held before must not change within an epoch.
     runs = slots.compress({**kept, **placed})
     builder.put(msgspec.structs.replace(mine, runs=runs))
-    return builder.build(Kind.CLAIM, "lease-over:" + ",".join(sources))
+    return builder.build(ChangeKind.CLAIM, "lease-over:" + ",".join(sources))
 
 
 def reconfigure(
@@ -241,7 +243,7 @@
             fence, handover=handover(move.slot)
         )
     members = view.members(target.service)
-    builder.put(own_record(target, holdings, members))
+    builder.put(with_assignments(target, holdings, members))
     for destination, taken in gained.items():
         record = view.lease(destination)
         if record is None:
@@ -249,4 +251,4 @@
         placed = placement.choose_successors(record, taken, members)
         runs = slots.compress({**slots.expand(record.runs), **placed})
         builder.put(msgspec.structs.replace(record, runs=runs))
-    return builder.build(Kind.RECONFIGURE, reason)
+    return builder.build(ChangeKind.RECONFIGURE, reason)
--- a/tamarackgap/ownership/effects.py
+++ b/tamarackgap/ownership/effects.py
@@ -26,13 +26,13 @@
         witnesses: How many witnesses are wanted; odd.
         settle: Time before a service is founded, seconds.
         batch: Most slots handed over in one transaction.
-        ordered: Whether keys lie in slots by their order; then slots are
+        ordered_keys: Whether keys lie in slots by their order; then slots are
             given out in runs, and the target is asked to release them
             before they move.
-        half_life: Half-life of the loads of slots, seconds.
-        unsettled: Time after a change of slots in which loads are measured
+        load_half_life: Half-life of the loads of slots, seconds.
+        load_warmup: Time after a change of slots in which loads are measured
             anew, seconds.
-        tolerance: Least load above its share, percent, at which a daemon
+        min_tolerance: Least load above its share, percent, at which a daemon
             gives slots away, whatever the operators' row says.
         anchor: An owner that has not read the table for so long serves
             nothing, seconds; 0 for no such bound. Without it a person has
@@ -51,14 +51,14 @@
     witnesses: int = 3
     settle: float = 1.0
     batch: int = 64
-    ordered: bool = False
-    half_life: float = heat.HALF_LIFE_S
-    unsettled: float = 5.0
-    tolerance: int = 0
+    ordered_keys: bool = False
+    load_half_life: float = heat.HALF_LIFE_S
+    load_warmup: float = 5.0
+    min_tolerance: int = 0
     anchor: float = 0.0
 
 
-def condemn_after(settings: Settings) -> float:
+def challenge_timeout(settings: Settings) -> float:
     """Returns how long a challenge must stand unanswered, seconds.
 
     By then its owner has not read the table for the anchor time on its own
@@ -68,7 +68,7 @@
     return longest * (1 + 2 * settings.drift)
 
 
-class Owned(msgspec.Struct, frozen=True):
+class OwnedSlot(msgspec.Struct, frozen=True):
     """A slot that this daemon owns.
 
     Attributes:
@@ -98,19 +98,19 @@
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """Effect: put a transaction to the table, then call `committed`."""
+    """Effect: commit a transaction, then call `handle_commit_result`."""
 
     change: changes.Change
 
 
-class Decision(msgspec.Struct, frozen=True):
+class LogLine(msgspec.Struct, frozen=True):
     """Effect: write a line to the log."""
 
     event: str
     fields: dict[str, object]
 
 
-class Refresh(msgspec.Struct, frozen=True):
+class ReadTable(msgspec.Struct, frozen=True):
     """Effect: read the table soon; it has rows that are not known here.
 
     Attributes:
@@ -120,16 +120,16 @@
     urgent: bool = False
 
 
-class HandOff(msgspec.Struct, frozen=True):
-    """Effect: take slots back from the target, then call `handed_off`.
+class ReleaseSlots(msgspec.Struct, frozen=True):
+    """Effect: take slots back from the target, then call `slots_released`.
 
     With no slots, a move is over or was given up.
     """
 
-    moving: frozenset[int]
+    slots: frozenset[int]
 
 
-Effect = Send | Commit | Decision | Refresh | HandOff
+Effect = Send | Commit | LogLine | ReadTable | ReleaseSlots
 
 
 class CommitState(enum.Enum):
@@ -164,7 +164,7 @@
         """Adds an effect."""
         self._effects.append(effect)
 
-    def post(self, address: str, message: messages.Message) -> None:
+    def send_to(self, address: str, message: messages.Message) -> None:
         """Sends a message to an address."""
         self.put(Send(self.incarnation, address, message))
 
@@ -172,14 +172,14 @@
         """Sends a message to an incarnation, if its address is known."""
         record = self._view.lease(incarnation)
         if record is not None:
-            self.post(record.peer_address, message)
+            self.send_to(record.peer_address, message)
 
     def broadcast(self, message: messages.Message) -> None:
         """Sends a message to every other daemon."""
         for record in self._view.members():
             if record.incarnation != self.incarnation:
-                self.post(record.peer_address, message)
+                self.send_to(record.peer_address, message)
 
     def log(self, event: str, **fields: object) -> None:
         """Writes a line to the log."""
-        self.put(Decision(event, fields))
+        self.put(LogLine(event, fields))
--- a/tamarackgap/ownership/former.py
+++ b/tamarackgap/ownership/endedincarnations.py
@@ -4,27 +4,27 @@
 they handed over is over.
 """
 
-from tamarackgap.ownership import effects, witnessing
+from tamarackgap.ownership import effects, witnesshandler
 from tamarackgap.placement import records
 
 _KEPT = 8
 
 
-class Former:
+class EndedIncarnations:
     """The ended incarnations of this process."""
 
     def __init__(self) -> None:
         """Creates a memory of none."""
-        self._witnesses: dict[str, witnessing.Witnessing] = {}
+        self._witnesses: dict[str, witnesshandler.WitnessHandler] = {}
         self._over_at: dict[str, float] = {}
 
-    def keep(self, name: str, witness: witnessing.Witnessing) -> None:
+    def keep(self, name: str, witness: witnesshandler.WitnessHandler) -> None:
         """Keeps an ended incarnation's promises."""
         self._witnesses[name] = witness
         for oldest in list(self._witnesses)[:-_KEPT]:
             del self._witnesses[oldest]
 
-    def witness(self, name: str) -> witnessing.Witnessing | None:
+    def witness(self, name: str) -> witnesshandler.WitnessHandler | None:
         """Returns what was promised under a name, or None."""
         return self._witnesses.get(name)
 
--- a/tamarackgap/ownership/reconfiguring.py
+++ b/tamarackgap/ownership/epochchange.py
@@ -4,8 +4,7 @@
 
 import msgspec
 
-from tamarackgap.ownership import effects, planner, renewal
-from tamarackgap.ownership import situation as situation_lib
+from tamarackgap.ownership import effects, planner, plannerinputs, renewal
 from tamarackgap.placement import placement, slots
 
 # Longest time for witnesses to retire one epoch and to grant the next, seconds.
@@ -14,11 +13,11 @@
 _HAND_OFF_LIMIT_S = 4.0
 
 
-class Reconfiguring:
+class EpochChange:
     """The next epoch of one incarnation, while it is not written yet."""
 
     def __init__(
-        self, lease: renewal.Renewal, outbox: effects.Outbox, ordered: bool
+        self, lease: renewal.LeaseRenewer, outbox: effects.Outbox, ordered: bool
     ) -> None:
         """Creates an owner that wants no other epoch.
 
@@ -30,9 +29,9 @@
         self._renewal = lease
         self._outbox = outbox
         self._ordered = ordered
-        self._intent: planner.Intent | None = None
+        self._intent: planner.EpochIntent | None = None
         self._until = 0.0
-        self._hand_off: planner.HandOff | None = None
+        self._hand_off: planner.SlotRelease | None = None
         # Slots that are about to move: they are served no more.
         self.moving: frozenset[int] = frozenset()
 
@@ -42,11 +41,11 @@
         return self._intent is not None
 
     @property
-    def is_handing_off(self) -> bool:
+    def is_releasing_slots(self) -> bool:
         """Whether the target is releasing slots that are to move."""
         return self._hand_off is not None
 
-    def begin(self, intent: planner.Intent, now: float) -> None:
+    def begin(self, intent: planner.EpochIntent, now: float) -> None:
         """Collects retirements and new grants before the epoch changes."""
         self._intent = intent
         self._until = now + _PREPARE_LIMIT_S
@@ -54,10 +53,10 @@
 
     def proceed(
         self,
-        situation: Callable[[float], situation_lib.Situation],
+        situation: Callable[[float], plannerinputs.PlannerInputs],
         change: Callable[[], str],
         now: float,
-    ) -> planner.Reconfiguration | None:
+    ) -> planner.EpochWrite | None:
         """Goes on; returns the write that begins the epoch once it is due.
 
         Args:
@@ -70,7 +69,7 @@
             if now >= self._until:
                 self.give_up()
             return None
-        found = planner.reconfiguration(
+        found = planner.plan_epoch_write(
             self._intent, situation(now), change(), self._hand_off
         )
         if found is None:
@@ -78,15 +77,15 @@
             return None
         self.moving = frozenset(move.slot for move in found.moves)
         if self._ordered and self.moving and self._hand_off is None:
-            self._hand_off = planner.HandOff(found.moves)
+            self._hand_off = planner.SlotRelease(found.moves)
             self._until = now + _HAND_OFF_LIMIT_S
-            self._outbox.put(effects.HandOff(self.moving))
+            self._outbox.put(effects.ReleaseSlots(self.moving))
             return None
         self._log_moves(found.moves)
         self._renewal.own_lease.begin_write()
         return found
 
-    def handed_off(self, handovers: dict[slots.Run, str]) -> None:
+    def slots_released(self, handovers: dict[slots.Run, str]) -> None:
         """Notes that the target has released the slots that are to move.
 
         Args:
@@ -108,7 +107,7 @@
         self.moving = frozenset()
         if self._hand_off is not None:
             self._hand_off = None
-            self._outbox.put(effects.HandOff(self.moving))
+            self._outbox.put(effects.ReleaseSlots(self.moving))
 
     def _log_moves(self, moves: tuple[placement.Move, ...]) -> None:
         """Logs one line for each run of slots that goes the same way."""
--- a/tamarackgap/ownership/lease.py
+++ b/tamarackgap/ownership/lease.py
@@ -53,7 +53,7 @@
         """How many witnesses are a majority."""
         return majority(len(self._expiries))
 
-    def answered(
+    def record_answer(
         self,
         witness: str,
         state: types.WitnessState,
@@ -91,7 +91,9 @@
         """Returns whether a majority last said one of `states`."""
         return bool(self._states) and self.count(*states) >= self.quorum
 
-    def silent(self, now: types.Seconds, after: types.Seconds) -> set[str]:
+    def silent_witnesses(
+        self, now: types.Seconds, after: types.Seconds
+    ) -> set[str]:
         """Returns the witnesses that have not answered for `after`."""
         return {
             witness
@@ -99,12 +101,14 @@
             if now - heard > after
         }
 
-    def hears(self, now: types.Seconds, within: types.Seconds) -> bool:
+    def has_recent_majority(
+        self, now: types.Seconds, within: types.Seconds
+    ) -> bool:
         """Returns whether a majority has answered `within` the last time."""
-        silent = self.silent(now, within)
+        silent = self.silent_witnesses(now, within)
         return len(self._heard) - len(silent) >= self.quorum
 
-    def refusing(self) -> set[str]:
+    def refusing_witnesses(self) -> set[str]:
         """Returns the witnesses that will renew no more."""
         stopped = (
             types.WitnessState.SEALED,
--- a/tamarackgap/ownership/silence.py
+++ b/tamarackgap/ownership/liveness.py
@@ -9,7 +9,7 @@
 _PAUSE_S = 10.0
 
 
-class Silence:
+class LivenessTracker:
     """Since when owners are missed, and challenges have been standing."""
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self,
         view: records.View,
         own: str,
-        alive: Callable[[str], bool],
+        is_reachable: Callable[[str], bool],
         now: float,
     ) -> dict[str, float]:
         """Returns for how long each silent owner has been missed, seconds.
@@ -29,7 +29,7 @@
         Args:
             view: Rows of the table known here.
             own: The incarnation that asks.
-            alive: Tells whether an incarnation has been heard lately.
+            is_reachable: Tells whether an incarnation has been heard lately.
             now: Monotonic time, seconds.
         """
         self._missed_since = {
@@ -37,7 +37,7 @@
             for record in view.leases()
             if record.is_open
             and record.incarnation != own
-            and not alive(record.incarnation)
+            and not is_reachable(record.incarnation)
         }
         return {name: now - since for name, since in self._missed_since.items()}
 
--- a/tamarackgap/ownership/loads.py
+++ b/tamarackgap/ownership/loads.py
@@ -71,7 +71,7 @@
         self._at = now
 
 
-class Sharing:
+class LoadExchange:
     """Tells other members of this daemon's load, and learns of theirs."""
 
     def __init__(
@@ -112,7 +112,7 @@
         """
         self.rates = rates
         total: float | None = sum(rates.values())
-        unsettled = now - changed_at < self._settings.unsettled
+        unsettled = now - changed_at < self._settings.load_warmup
         if unsettled and total >= _IDLE_RATE:
             # What came lately is not measured well enough to move more.
             total = None
@@ -127,4 +127,4 @@
             if record.incarnation != own
         ]
         for record in self._rng.sample(others, min(_FANOUT, len(others))):
-            self._outbox.post(record.peer_address, messages.Load(total))
+            self._outbox.send_to(record.peer_address, messages.Load(total))
--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -11,18 +11,18 @@
 from tamarackgap.ownership import (
     changes,
     effects,
-    former,
+    endedincarnations,
+    epochchange,
     lease,
+    liveness,
     loads,
     planner,
-    reconfiguring,
+    plannerinputs,
     renewal,
-    silence,
     succession,
     takeover,
-    witnessing,
+    witnesshandler,
 )
-from tamarackgap.ownership import situation as situation_lib
 from tamarackgap.peers import messages
 from tamarackgap.placement import records, routes, slots
 
@@ -37,7 +37,9 @@
 # a few writes and a witness's answer, seconds.
 _REJOIN_S = 3.0
 # After these the slots of a closed record wait for their claim.
-_CLAIMED_NEXT = frozenset({changes.Kind.VOUCH, changes.Kind.CONDEMN})
+_CLAIMED_NEXT = frozenset(
+    {changes.ChangeKind.CLOSE_GONE, changes.ChangeKind.CLOSE_UNANSWERED}
+)
 
 
 class Ownership:
@@ -47,7 +49,7 @@
         self,
         settings: effects.Settings,
         rng: random.Random,
-        busy: Callable[[int], bool],
+        is_pinned: Callable[[int], bool],
         now: float,
     ) -> None:
         """Creates a daemon that has not joined yet.
@@ -55,12 +57,12 @@
         Args:
             settings: What the daemon is told about itself.
             rng: Source of ids and jitter.
-            busy: Tells whether requests of a slot are in progress.
+            is_pinned: Tells whether requests of a slot are in progress.
             now: Monotonic time, seconds.
         """
         self._settings = settings
         self._rng = rng
-        self._busy = busy
+        self._is_pinned = is_pinned
         self._view = records.View()
         self._routes = routes.Routes()
         self._outbox = effects.Outbox(self._view, types.NOBODY)
@@ -71,31 +73,31 @@
         # Whether the service's keys have owners at all.
         self.keyed = True
         # Whether the target has so little to do that its slots may stay.
-        self.calm = False
+        self.has_low_load = False
         # Tells whether an incarnation has been heard lately: a new witness
         # must answer, or the write that names it waits in vain.
-        self.alive: Callable[[str], bool] = lambda name: True
+        self.is_reachable: Callable[[str], bool] = lambda name: True
         # Rises whenever other slots are owned than before.
         self.slots_version = 0
-        self._renewal = renewal.Renewal(
+        self._renewal = renewal.LeaseRenewer(
             settings.lease, self._view, self._outbox, now
         )
         # Up to when what the table says is known here, seconds.
-        self._read_as_of = now
-        self._witnessing: witnessing.Witnessing | None = None
-        self._reconfiguring = reconfiguring.Reconfiguring(
-            self._renewal, self._outbox, settings.ordered
+        self._table_as_of = now
+        self._own_witness: witnesshandler.WitnessHandler | None = None
+        self._epoch_change = epochchange.EpochChange(
+            self._renewal, self._outbox, settings.ordered_keys
         )
-        self._former = former.Former()
-        self._silence = silence.Silence()
+        self._ended = endedincarnations.EndedIncarnations()
+        self._liveness = liveness.LivenessTracker()
         self._rejoin_until = now
         self._begin(now)
 
     def _begin(self, now: float) -> None:
         # What an ended incarnation has promised as a witness still holds:
         # the process remembers it.
-        if self._witnessing is not None:
-            self._former.keep(self._incarnation, self._witnessing)
+        if self._own_witness is not None:
+            self._ended.keep(self._incarnation, self._own_witness)
         self._incarnation = types.Incarnation(
             f"{self._rng.getrandbits(64):016x}"
         )
@@ -104,7 +106,7 @@
         self._started = now
         self._lapsed_at = now
         self._joined = False
-        self._witnessing = witnessing.Witnessing(
+        self._own_witness = witnesshandler.WitnessHandler(
             self._settings.lease * _SUSPECT_SHARE, self._view, self._outbox
         )
         self._succession = succession.Succession(
@@ -112,27 +114,27 @@
             self._view,
             self._routes,
             self._outbox,
-            self._witnessing.seal,
+            self._own_witness.seal,
         )
         late = self._renewal.lateness
-        self._renewal = renewal.Renewal(
+        self._renewal = renewal.LeaseRenewer(
             self._settings.lease, self._view, self._outbox, now
         )
         self._renewal.lateness = late
-        self._owned: dict[int, effects.Owned] = {}
+        self._owned: dict[int, effects.OwnedSlot] = {}
         self._pending: changes.Change | None = None
         self._commit_at = 0.0
-        self._reconfiguring.end_hand_off()
-        self._reconfiguring = reconfiguring.Reconfiguring(
-            self._renewal, self._outbox, self._settings.ordered
+        self._epoch_change.end_hand_off()
+        self._epoch_change = epochchange.EpochChange(
+            self._renewal, self._outbox, self._settings.ordered_keys
         )
         self._changed_at = now
-        self._sharing = loads.Sharing(
+        self._sharing = loads.LoadExchange(
             self._settings, self._view, self._outbox, self._rng, now
         )
         self._plan_at = now
         # What the last decision rested on, where there was nothing to do.
-        self._idle: situation_lib.Signature | None = None
+        self._idle: plannerinputs.InputsSignature | None = None
         self._idle_until = now
 
     @property
@@ -144,7 +146,7 @@
         """Returns whether an id is, or was lately, this process's."""
         return (
             incarnation == self._incarnation
-            or self._former.witness(incarnation) is not None
+            or self._ended.witness(incarnation) is not None
         )
 
     @property
@@ -183,12 +185,12 @@
         return self._draining
 
     @property
-    def owned(self) -> dict[int, effects.Owned]:
+    def owned(self) -> dict[int, effects.OwnedSlot]:
         """All slots held, recorded in the table or not."""
         return {**self._owned, **self._succession.held}
 
     @property
-    def unrecorded(self) -> dict[int, effects.Owned]:
+    def unrecorded(self) -> dict[int, effects.OwnedSlot]:
         """Slots held under seals that the table does not show yet."""
         return self._succession.held
 
@@ -203,27 +205,27 @@
         return self._pending
 
     @property
-    def is_handing_off(self) -> bool:
+    def is_releasing_slots(self) -> bool:
         """Whether the target is releasing slots that are to move."""
-        return self._reconfiguring.is_handing_off
+        return self._epoch_change.is_releasing_slots
 
     @property
-    def read_as_of(self) -> float:
+    def table_as_of(self) -> float:
         """Up to when what the table says is known here, seconds."""
-        return self._read_as_of
+        return self._table_as_of
 
     def lease_until(self) -> float:
         """Returns the end of the lease on this daemon's clock, seconds."""
         until = self._renewal.own_lease.valid_until()
         if self._settings.anchor:
-            until = min(until, self._read_as_of + self._settings.anchor)
+            until = min(until, self._table_as_of + self._settings.anchor)
         return until
 
     def grants(self) -> lease.EpochGrants:
         """Returns the grants of the current epoch."""
         return self._renewal.own_lease.current
 
-    def find(self, slot: int) -> effects.Owned | None:
+    def find(self, slot: int) -> effects.OwnedSlot | None:
         """Returns a slot's holding here, or None."""
         return self._succession.find(slot) or self._owned.get(slot)
 
@@ -233,7 +235,7 @@
             return types.Reason.WRONG_OWNER
         if now >= self.lease_until():
             return types.Reason.LEASE_EXPIRED
-        if slot in self._reconfiguring.moving:
+        if slot in self._epoch_change.moving:
             return types.Reason.SLOT_MOVING
         return None
 
@@ -250,7 +252,9 @@
         record = self._view.lease(self._incarnation)
         return record.linger_ms / 1000 if record is not None else 0.0
 
-    def accept(self, accepting: bool, checks_grants: bool = False) -> None:
+    def set_target_state(
+        self, accepting: bool, checks_grants: bool = False
+    ) -> None:
         """Says what the target beside this daemon can do.
 
         Args:
@@ -261,7 +265,7 @@
         self._accepting = accepting
         self._checks_grants = checks_grants
 
-    def served(self, rates: dict[int, float], now: float) -> None:
+    def report_load(self, rates: dict[int, float], now: float) -> None:
         """Says what load the slots bring, and tells other members of it.
 
         Args:
@@ -274,7 +278,7 @@
         """Begins to give all slots away."""
         self._draining = True
 
-    def release(self, now: float) -> None:
+    def release_lease(self, now: float) -> None:
         """Gives the lease up at once, for use while the table is down.
 
         The successors need not wait then. Nothing may be in progress.
@@ -282,7 +286,7 @@
         for name in self._renewal.own_lease.current.witnesses:
             self._outbox.send(name, messages.Release(name, self.epoch))
         self._outbox.log("released", slots=len(self.owned))
-        self._former.ends(self._incarnation, now + self.linger)
+        self._ended.ends(self._incarnation, now + self.linger)
         self._begin(now)
 
     def merge(self, rows: list[records.Row], now: float) -> None:
@@ -300,7 +304,7 @@
             self._routes.learn_record(record)
             if self._is_stranded(record):
                 # Who may take its slots is known once this has been read.
-                self._outbox.put(effects.Refresh(urgent=True))
+                self._outbox.put(effects.ReadTable(urgent=True))
         if records.lease_key(self._incarnation) in changed:
             self._adopt(now)
 
@@ -309,7 +313,7 @@
         unread = self._view.cursor < self._view.revision(record.key)
         return ours and bool(record.runs) and not record.is_open and unread
 
-    def read(
+    def apply_table_read(
         self,
         rows: list[records.Row],
         revision: int,
@@ -330,16 +334,16 @@
         # The record of a challenged owner may be closed at any time, unseen,
         # until its answer is in the table.
         if self._incarnation not in self._view.challenges():
-            self._read_as_of = max(
-                self._read_as_of, now if as_of is None else as_of
+            self._table_as_of = max(
+                self._table_as_of, now if as_of is None else as_of
             )
         self._view.advance(types.Revision(revision))
 
-    def table_failed(self) -> None:
+    def record_table_failure(self) -> None:
         """Notes that the table did not answer; no move begins now."""
         self._table_ok = False
 
-    def committed(
+    def handle_commit_result(
         self,
         change_id: str,
         state: effects.CommitState,
@@ -377,9 +381,9 @@
             if now < self._rejoin_until or change.kind in _CLAIMED_NEXT:
                 self._plan_at = now
             self._outbox.broadcast(messages.Rows(tuple(rows)))
-        if change.kind is changes.Kind.RECONFIGURE:
-            self._reconfiguring.give_up()
-        self._reconfiguring.end_hand_off()
+        if change.kind is changes.ChangeKind.RECONFIGURE:
+            self._epoch_change.give_up()
+        self._epoch_change.end_hand_off()
 
     def receive(self, envelope: messages.Envelope, now: float) -> None:
         """Takes a message of another daemon in."""
@@ -417,11 +421,11 @@
             self._outbox.put(effects.Send(asked, envelope.address, answer))
         self._progress(now)
 
-    def _witness(self, name: str) -> witnessing.Witnessing | None:
+    def _witness(self, name: str) -> witnesshandler.WitnessHandler | None:
         """Returns what this process has promised under a name, or None."""
         if name == self._incarnation:
-            return self._witnessing
-        return self._former.witness(name)
+            return self._own_witness
+        return self._ended.witness(name)
 
     def tick(self, now: float) -> None:
         """Does all that is due; to be called every few milliseconds."""
@@ -435,8 +439,8 @@
 
     def _silent_owners(self, now: float) -> list[records.LeaseRecord]:
         """Returns silent owners, whichever incarnation witnesses them."""
-        found = self._former.silent_owners(self._outbox, now)
-        return found + self._witnessing.silent_owners(now)
+        found = self._ended.silent_owners(self._outbox, now)
+        return found + self._own_witness.silent_owners(now)
 
     # The owner's side.
 
@@ -465,7 +469,7 @@
     def _depose(self, reason: str, now: float) -> None:
         self._outbox.log("lease_lost", reason=reason, slots=len(self.owned))
         until = max(now, self._renewal.own_lease.valid_until())
-        self._former.ends(self._incarnation, until + self.linger)
+        self._ended.ends(self._incarnation, until + self.linger)
         self._rejoin_until = now + _REJOIN_S
         self._begin(now)
 
@@ -491,7 +495,7 @@
             self._succession.recorded(slot)
         if held and self._view.founded(self._settings.service) is None:
             # Keys are told from slots by the founding row.
-            self._outbox.put(effects.Refresh(urgent=True))
+            self._outbox.put(effects.ReadTable(urgent=True))
         if gained or lost:
             self._changed_at = now
             self.slots_version += 1
@@ -505,11 +509,11 @@
 
     def _kept(
         self, slot: int, holding: slots.Holding, now: float
-    ) -> effects.Owned:
+    ) -> effects.OwnedSlot:
         present = self.find(slot)
         if present is not None and present.fence == holding.fence:
             return present
-        return effects.Owned(holding.fence, now, holding.handover)
+        return effects.OwnedSlot(holding.fence, now, holding.handover)
 
     # The successor's side.
 
@@ -534,20 +538,21 @@
 
     def _put(self, change: changes.Change, now: float) -> None:
         self._pending = change
-        # Set again by `committed`; a lost call must not stop the protocol.
+        # `handle_commit_result` sets it again. If that call is lost, the
+        # transaction is sent again at this time.
         self._commit_at = now + _ANSWER_LIMIT_S
         self._outbox.put(effects.Commit(change))
 
     def _plan(self, now: float) -> None:
         if self._pending is not None:
             return
-        if self._reconfiguring.is_under_way:
+        if self._epoch_change.is_under_way:
             self._proceed(now)
             return
         if now < self._plan_at:
             return
         self._plan_at = now + planner.PLAN_EVERY_S
-        waited = self._started + situation_lib.vouch_after(self._settings)
+        waited = self._started + plannerinputs.vouch_after(self._settings)
         if now < waited:
             self._plan_at = min(self._plan_at, waited)
         situation = self._situation(now)
@@ -560,10 +565,10 @@
         if isinstance(decided, changes.Change):
             self._put(decided, now)
         elif decided is not None:
-            self._reconfiguring.begin(decided, now)
+            self._epoch_change.begin(decided, now)
 
-    def _situation(self, now: float) -> situation_lib.Situation:
-        return situation_lib.Situation(
+    def _situation(self, now: float) -> plannerinputs.PlannerInputs:
+        return plannerinputs.PlannerInputs(
             view=self._view,
             settings=self._settings,
             incarnation=self._incarnation,
@@ -577,43 +582,43 @@
             unrecorded={
                 slot: held.fence for slot, held in self._succession.held.items()
             },
-            busy=self._busy,
+            is_pinned=self._is_pinned,
             rates=self._sharing.rates,
             loads=self._sharing.known.fresh(now),
             most_moves=int(self._sharing.budget.tokens(now)),
             age=now - self._started,
             now=now,
             keyed=self.keyed,
-            calm=self.calm,
-            alive=self.alive,
-            silent_for=self._silence.missed_for(
-                self._view, self._incarnation, self.alive, now
+            has_low_load=self.has_low_load,
+            is_reachable=self.is_reachable,
+            silent_for=self._liveness.missed_for(
+                self._view, self._incarnation, self.is_reachable, now
             ),
-            challenged_for=self._silence.challenged_for(self._view, now),
-            over=self._former.over(self._view, now),
+            challenged_for=self._liveness.challenged_for(self._view, now),
+            over=self._ended.over(self._view, now),
         )
 
     def _change_id(self) -> str:
         return f"{self._incarnation}-{self._rng.getrandbits(48):012x}"
 
     def _proceed(self, now: float) -> None:
-        found = self._reconfiguring.proceed(
+        found = self._epoch_change.proceed(
             self._situation, self._change_id, now
         )
         if found is not None:
             self._sharing.budget.spend(len(found.moves))
             self._put(found.change, now)
 
-    def handed_off(self, handovers: dict[slots.Run, str]) -> None:
+    def slots_released(self, handovers: dict[slots.Run, str]) -> None:
         """Notes that the target has released the slots that are to move.
 
         Args:
             handovers: What it said to tell each run's next target.
         """
-        self._reconfiguring.handed_off(handovers)
+        self._epoch_change.slots_released(handovers)
 
     # Helpers.
 
     def _heard_revision(self, revision: int) -> None:
         if revision > self._view.cursor:
-            self._outbox.put(effects.Refresh())
+            self._outbox.put(effects.ReadTable())
--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -2,8 +2,7 @@
 
 import msgspec
 
-from tamarackgap.ownership import changes, effects
-from tamarackgap.ownership import situation as situation_lib
+from tamarackgap.ownership import changes, effects, plannerinputs
 from tamarackgap.placement import placement, records, slots
 
 PLAN_EVERY_S = 0.2
@@ -16,7 +15,7 @@
 _FOUND_ANYHOW = 2.0
 
 
-class Intent(msgspec.Struct, frozen=True):
+class EpochIntent(msgspec.Struct, frozen=True):
     """A new epoch that is wanted.
 
     Attributes:
@@ -28,7 +27,7 @@
     reason: str
 
 
-class HandOff(msgspec.Struct, frozen=True):
+class SlotRelease(msgspec.Struct, frozen=True):
     """Moves whose slots the target is releasing, or has released.
 
     Attributes:
@@ -48,7 +47,7 @@
         return ""
 
 
-class Reconfiguration(msgspec.Struct, frozen=True):
+class EpochWrite(msgspec.Struct, frozen=True):
     """A new epoch that is ready to be written, and the moves in it."""
 
     change: changes.Change
@@ -56,8 +55,8 @@
 
 
 def decide(
-    situation: situation_lib.Situation, change: str
-) -> changes.Change | Intent | None:
+    situation: plannerinputs.PlannerInputs, change: str
+) -> changes.Change | EpochIntent | None:
     """Returns the change that is due, an intent, or None.
 
     Args:
@@ -85,7 +84,7 @@
 
 
 def _join(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     if situation.mine is not None or situation.draining:
         return None
@@ -104,11 +103,11 @@
     )
     builder = changes.Builder(situation.view, change)
     builder.put(record)
-    return builder.build(changes.Kind.JOIN, "started")
+    return builder.build(changes.ChangeKind.JOIN, "started")
 
 
 def _flag(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     mine = situation.mine
     if mine is None:
@@ -121,17 +120,17 @@
     builder = changes.Builder(situation.view, change)
     builder.put(flagged)
     reason = "accepting" if situation.accepting else "not-accepting"
-    return builder.build(changes.Kind.FLAG, reason)
+    return builder.build(changes.ChangeKind.UPDATE_FLAGS, reason)
 
 
 def _claim(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     mine = situation.mine
     if mine is None or not situation.lease_valid:
         return None
     gains = [
-        changes.Gain(record, fences)
+        changes.SlotClaim(record, fences)
         for record in situation.view.leases()
         if (fences := _claimable(situation, record)) is not None
     ]
@@ -141,7 +140,7 @@
 
 
 def _claimable(
-    situation: situation_lib.Situation, record: records.LeaseRecord
+    situation: plannerinputs.PlannerInputs, record: records.LeaseRecord
 ) -> dict[int, int] | None:
     """Returns new fences of what may be taken; None leaves it alone."""
     over = any(
@@ -166,7 +165,7 @@
 
 
 def _stranded(
-    situation: situation_lib.Situation,
+    situation: plannerinputs.PlannerInputs,
     record: records.LeaseRecord,
 ) -> dict[int, int]:
     """Returns slots of a closed record whose successor is over as well.
@@ -194,7 +193,7 @@
 
 
 def _vouch(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     """Closes records of earlier incarnations at this daemon's own address.
 
@@ -203,7 +202,7 @@
     process itself was the earlier one, it knows when that is.
     """
     settings = situation.settings
-    waited = situation.age >= situation_lib.vouch_after(settings)
+    waited = situation.age >= plannerinputs.vouch_after(settings)
     earlier = [
         record
         for record in situation.view.leases()
@@ -217,22 +216,24 @@
     builder = changes.Builder(situation.view, change)
     for record in earlier:
         builder.close(record, slots.expand(record.runs))
-    return builder.build(changes.Kind.VOUCH, "earlier-incarnation-gone")
+    return builder.build(
+        changes.ChangeKind.CLOSE_GONE, "earlier-incarnation-gone"
+    )
 
 
 def _answer(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     """Shows that this incarnation lives, where another asked for it."""
     if situation.incarnation not in situation.view.challenges():
         return None
     builder = changes.Builder(situation.view, change)
     builder.end_challenge(situation.incarnation)
-    return builder.build(changes.Kind.ANSWER, "challenged")
+    return builder.build(changes.ChangeKind.ANSWER_CHALLENGE, "challenged")
 
 
 def _challenge(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     """Asks an owner to show that it lives, if nobody here hears it.
 
@@ -251,16 +252,16 @@
         ):
             builder = changes.Builder(view, change)
             builder.challenge(record, situation.incarnation)
-            return builder.build(changes.Kind.CHALLENGE, "not-heard")
+            return builder.build(changes.ChangeKind.CHALLENGE, "not-heard")
     return None
 
 
 def _condemn(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     """Closes a record whose challenge has stood unanswered for long enough."""
     view = situation.view
-    limit = effects.condemn_after(situation.settings)
+    limit = effects.challenge_timeout(situation.settings)
     for name, challenge in view.challenges().items():
         if not _is_nearest(situation, name):
             continue
@@ -268,26 +269,30 @@
         builder = changes.Builder(view, change)
         builder.end_challenge(name)
         if record is None or not record.is_open:
-            return builder.build(changes.Kind.CONDEMN, "is-over-already")
+            return builder.build(
+                changes.ChangeKind.CLOSE_UNANSWERED, "is-over-already"
+            )
         waited = situation.challenged_for.get(name, 0.0)
         if record.epoch == challenge.epoch and waited > limit:
             builder.close(record, slots.expand(record.runs))
-            return builder.build(changes.Kind.CONDEMN, "not-answered")
+            return builder.build(
+                changes.ChangeKind.CLOSE_UNANSWERED, "not-answered"
+            )
     return None
 
 
-def _is_nearest(situation: situation_lib.Situation, item: str) -> bool:
+def _is_nearest(situation: plannerinputs.PlannerInputs, item: str) -> bool:
     """Returns whether a task that one daemon should do falls to this one."""
     heard = [
         record.incarnation
         for record in situation.view.members()
-        if situation.alive(record.incarnation)
+        if situation.is_reachable(record.incarnation)
     ]
     return placement.rendezvous(item, heard) == situation.incarnation
 
 
 def _found(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     mine = situation.mine
     settings = situation.settings
@@ -300,15 +305,15 @@
         or situation.view.founded(settings.service) is not None
     ):
         return None
-    if settings.ordered and not _founds(situation, mine):
+    if settings.ordered_keys and not _founds(situation, mine):
         return None
-    return changes.found(
-        situation.view, mine, settings.slot_count, change, settings.ordered
+    return changes.create_service(
+        situation.view, mine, settings.slot_count, change, settings.ordered_keys
     )
 
 
 def _founds(
-    situation: situation_lib.Situation, mine: records.LeaseRecord
+    situation: plannerinputs.PlannerInputs, mine: records.LeaseRecord
 ) -> bool:
     """Returns whether it is this member's turn to found the service.
 
@@ -325,7 +330,7 @@
 
 
 def _leave(
-    situation: situation_lib.Situation, change: str
+    situation: plannerinputs.PlannerInputs, change: str
 ) -> changes.Change | None:
     mine = situation.mine
     if (
@@ -338,17 +343,19 @@
         return None
     builder = changes.Builder(situation.view, change)
     builder.close(mine, {})
-    return builder.build(changes.Kind.LEAVE, "drained")
+    return builder.build(changes.ChangeKind.LEAVE, "drained")
 
 
-def _is_witness(situation: situation_lib.Situation) -> bool:
+def _is_witness(situation: plannerinputs.PlannerInputs) -> bool:
     return any(
         situation.incarnation in record.witnesses
         for record in situation.view.members()
     )
 
 
-def _intent(situation: situation_lib.Situation, change: str) -> Intent | None:
+def _intent(
+    situation: plannerinputs.PlannerInputs, change: str
+) -> EpochIntent | None:
     del change
     mine = situation.mine
     if mine is None or not situation.table_ok:
@@ -361,25 +368,25 @@
         reason = "successors"
     elif _moves(situation):
         reason = "moves"
-    return Intent(witnesses, reason) if reason else None
+    return EpochIntent(witnesses, reason) if reason else None
 
 
 def _witnesses(
-    situation: situation_lib.Situation, mine: records.LeaseRecord
+    situation: plannerinputs.PlannerInputs, mine: records.LeaseRecord
 ) -> tuple[str, ...]:
-    unresponsive = situation_lib.unresponsive(situation)
+    unresponsive = plannerinputs.unresponsive(situation)
     chosen = placement.choose_witnesses(
         mine,
         situation.view.members(),
         situation.settings.witnesses,
-        lambda name: name in unresponsive or not situation.alive(name),
+        lambda name: name in unresponsive or not situation.is_reachable(name),
     )
     # A lease with a majority of what is left is better than none.
     return chosen or mine.witnesses
 
 
 def _successors_stale(
-    situation: situation_lib.Situation, mine: records.LeaseRecord
+    situation: plannerinputs.PlannerInputs, mine: records.LeaseRecord
 ) -> bool:
     holdings = slots.expand(mine.runs)
     members = situation.view.members(mine.service)
@@ -390,7 +397,7 @@
     )
 
 
-def members(
+def placement_members(
     view: records.View, service: str, loads: dict[str, float]
 ) -> list[placement.Member]:
     """Returns a service's daemons with their weights, slots and loads."""
@@ -411,7 +418,9 @@
     ]
 
 
-def _moves(situation: situation_lib.Situation) -> tuple[placement.Move, ...]:
+def _moves(
+    situation: plannerinputs.PlannerInputs,
+) -> tuple[placement.Move, ...]:
     """Returns the moves that this daemon should make now."""
     view = situation.view
     service = situation.settings.service
@@ -427,25 +436,25 @@
         return ()
     mine = situation.mine
     policy = view.policy(service, mine.data_centre)
-    present = members(view, service, situation.loads)
+    present = placement_members(view, service, situation.loads)
     empty = any(member.weight and not member.owned for member in present)
-    if situation.calm and situation.accepting and not empty:
+    if situation.has_low_load and situation.accepting and not empty:
         return ()
     planned = placement.plan(
         founded.slots,
         present,
         situation.rates,
-        max(policy.tolerance, situation.settings.tolerance) / 100,
-        situation.settings.half_life,
+        max(policy.tolerance, situation.settings.min_tolerance) / 100,
+        situation.settings.load_half_life,
         placement.give_blocks
-        if situation.settings.ordered
+        if situation.settings.ordered_keys
         else placement.give_slots,
     )
     own = [
         move
         for move in planned
         if move.source == situation.incarnation
-        and not situation.busy(move.slot)
+        and not situation.is_pinned(move.slot)
     ]
     most = situation.settings.batch
     if situation.accepting:
@@ -453,12 +462,12 @@
     return tuple(own[:most])
 
 
-def reconfiguration(
-    intent: Intent,
-    situation: situation_lib.Situation,
+def plan_epoch_write(
+    intent: EpochIntent,
+    situation: plannerinputs.PlannerInputs,
     change: str,
-    hand_off: HandOff | None = None,
-) -> Reconfiguration | None:
+    hand_off: SlotRelease | None = None,
+) -> EpochWrite | None:
     """Returns the write that begins the next epoch, or None.
 
     The moves are chosen now rather than with the intent, so that none of
@@ -475,7 +484,7 @@
     if mine is None:
         return None
     if hand_off is None:
-        hand_off = HandOff(_moves(situation))
+        hand_off = SlotRelease(_moves(situation))
     moves = hand_off.moves
     if intent.reason == "moves" and not moves:
         return None
@@ -485,7 +494,7 @@
     reason = intent.reason
     if moves and reason != "moves":
         reason += "+moves"
-    return Reconfiguration(
+    return EpochWrite(
         changes.reconfigure(
             situation.view, target, moves, change, reason, hand_off.handover
         ),
--- a/tamarackgap/ownership/situation.py
+++ b/tamarackgap/ownership/plannerinputs.py
@@ -11,7 +11,7 @@
 _SILENT_LEASES = 2.0
 
 
-class Signature(msgspec.Struct, frozen=True):
+class InputsSignature(msgspec.Struct, frozen=True):
     """The part of a situation that changes seldom.
 
     Attributes:
@@ -22,7 +22,7 @@
         done: Number of epochs that were ended here.
         unrecorded: Number of slots that the table does not show yet.
         unresponsive: Witnesses that do not answer or renew no more.
-        calm: Whether the target has little to do.
+        has_low_load: Whether the target has little to do.
         over: Earlier incarnations of this process that are over.
         waited: Whether what an earlier process at this address handed over
             is over.
@@ -35,12 +35,12 @@
     done: int
     unrecorded: int
     unresponsive: frozenset[str]
-    calm: bool
+    has_low_load: bool
     over: frozenset[str]
     waited: bool
 
 
-class Situation(msgspec.Struct, frozen=True):
+class PlannerInputs(msgspec.Struct, frozen=True):
     """All that a decision rests on.
 
     Attributes:
@@ -55,15 +55,16 @@
         grants: Grants of the current epoch.
         takeovers: Attempts to end other daemons' epochs.
         unrecorded: Fences of the slots that the table does not show yet.
-        busy: Tells whether requests of a slot are in progress.
+        is_pinned: Tells whether requests of a slot are in progress.
         rates: Requests a second of each slot served here.
         loads: Requests a second of each member of which it is known.
         most_moves: Most slots that may be given away now.
         age: Seconds since the incarnation began.
         now: Monotonic time, seconds.
         keyed: Whether the service's keys have owners at all.
-        calm: Whether the target has so little to do that its slots may stay.
-        alive: Tells whether an incarnation has been heard lately.
+        has_low_load: Whether the target has so little load that its
+            slots need not move.
+        is_reachable: Tells whether an incarnation has been heard lately.
         silent_for: Seconds since each incarnation that is not heard was
             first missed.
         challenged_for: Seconds since each challenge was first seen here.
@@ -81,23 +82,23 @@
     grants: lease.EpochGrants
     takeovers: list[takeover.Takeover]
     unrecorded: dict[int, int]
-    busy: Callable[[int], bool]
+    is_pinned: Callable[[int], bool]
     rates: dict[int, float]
     loads: dict[str, float]
     most_moves: int
     age: float
     now: float
     keyed: bool = True
-    calm: bool = False
-    alive: Callable[[str], bool] = lambda name: True
+    has_low_load: bool = False
+    is_reachable: Callable[[str], bool] = lambda name: True
     silent_for: dict[str, float] = {}
     challenged_for: dict[str, float] = {}
     over: frozenset[str] = frozenset()
 
-    def signature(self) -> Signature:
+    def signature(self) -> InputsSignature:
         """Returns what has to change before another decision is due."""
         done = sum(attempt.done for attempt in self.takeovers)
-        return Signature(
+        return InputsSignature(
             self.view.version,
             self.accepting,
             self.lease_valid,
@@ -105,7 +106,7 @@
             done,
             len(self.unrecorded),
             frozenset(unresponsive(self)),
-            self.calm,
+            self.has_low_load,
             self.over,
             self.age >= vouch_after(self.settings),
         )
@@ -124,10 +125,10 @@
     return settings.lease * (1 + settings.drift) + settings.linger
 
 
-def unresponsive(situation: Situation) -> set[str]:
+def unresponsive(situation: PlannerInputs) -> set[str]:
     """Returns the witnesses that do not answer or renew no more."""
     grants = situation.grants
-    return grants.refusing() | grants.silent(
+    return grants.refusing_witnesses() | grants.silent_witnesses(
         types.Seconds(situation.now),
         types.Seconds(situation.settings.lease * _SILENT_LEASES),
     )
--- a/tamarackgap/ownership/renewal.py
+++ b/tamarackgap/ownership/renewal.py
@@ -11,7 +11,7 @@
 _STOPPED = (types.WitnessState.SEALED, types.WitnessState.CLOSED)
 
 
-class Renewal:
+class LeaseRenewer:
     """Keeps one incarnation's lease up."""
 
     def __init__(
@@ -71,7 +71,9 @@
                 continue
             deaf = not self._hears(grants, now)
             sent = types.Seconds(message.sent) if message.granted else None
-            grants.answered(sender, message.state, types.Seconds(now), sent)
+            grants.record_answer(
+                sender, message.state, types.Seconds(now), sent
+            )
             if deaf and self._hears(grants, now):
                 # Its probes are answered again: it renews at once.
                 self._due = now
@@ -82,7 +84,7 @@
         """Takes a witness's answer to a retirement in."""
         for grants in self._lease.epochs():
             if grants.epoch == message.epoch:
-                grants.answered(sender, message.state, types.Seconds(now))
+                grants.record_answer(sender, message.state, types.Seconds(now))
 
     def is_ended(self) -> bool:
         """Returns whether a majority will never renew again."""
@@ -108,4 +110,6 @@
 
     def _hears(self, grants: lease.EpochGrants, now: float) -> bool:
         within = self._interval * _HEARING_INTERVALS
-        return grants.hears(types.Seconds(now), types.Seconds(within))
+        return grants.has_recent_majority(
+            types.Seconds(now), types.Seconds(within)
+        )
--- a/tamarackgap/ownership/succession.py
+++ b/tamarackgap/ownership/succession.py
@@ -41,7 +41,7 @@
         self._outbox = outbox
         self._seal_here = seal_here
         self._attempts: dict[tuple[str, int], takeover.Takeover] = {}
-        self._held: dict[int, effects.Owned] = {}
+        self._held: dict[int, effects.OwnedSlot] = {}
         self._reclaim_at = 0.0
 
     @property
@@ -50,11 +50,11 @@
         return list(self._attempts.values())
 
     @property
-    def held(self) -> dict[int, effects.Owned]:
+    def held(self) -> dict[int, effects.OwnedSlot]:
         """Slots held under seals that the table does not show yet."""
         return dict(self._held)
 
-    def find(self, slot: int) -> effects.Owned | None:
+    def find(self, slot: int) -> effects.OwnedSlot | None:
         """Returns a slot's holding under seals, or None."""
         return self._held.get(slot)
 
@@ -68,7 +68,7 @@
         if record is None or not record.is_open:
             return
         if record.epoch != epoch:
-            self._outbox.put(effects.Refresh(urgent=True))
+            self._outbox.put(effects.ReadTable(urgent=True))
             return
         attempt = self._attempts.get((owner, epoch))
         if attempt is None:
@@ -81,7 +81,7 @@
         """Takes a witness's answer in."""
         attempt = self._attempts.get((message.owner, message.epoch))
         if attempt is not None:
-            attempt.answered(sender, message, types.Seconds(now))
+            attempt.record_answer(sender, message, types.Seconds(now))
 
     def progress(self, now: float) -> bool:
         """Goes on with all attempts; returns whether one has succeeded."""
@@ -92,7 +92,7 @@
                 del self._attempts[owner, epoch]
             elif attempt.mode() is takeover.Mode.SUPERSEDED:
                 del self._attempts[owner, epoch]
-                self._outbox.put(effects.Refresh(urgent=True))
+                self._outbox.put(effects.ReadTable(urgent=True))
             elif not attempt.done:
                 succeeded |= self._advance(attempt, record, now)
         return succeeded
@@ -148,7 +148,7 @@
             message = messages.Seal(name, record.incarnation, record.epoch)
             if name == self._outbox.incarnation:
                 answer = self._seal_here(message, now)
-                attempt.answered(name, answer, types.Seconds(now))
+                attempt.record_answer(name, answer, types.Seconds(now))
             else:
                 self._outbox.send(name, message)
 
@@ -158,7 +158,7 @@
         for slot, holding in slots.expand(record.runs).items():
             if holding.successor == own:
                 fence = holding.fence + 1
-                self._held[slot] = effects.Owned(fence, now)
+                self._held[slot] = effects.OwnedSlot(fence, now)
                 route = routes.Route(own, fence)
                 self._routes.learn(record.service, slot, route)
         self._outbox.log(
--- a/tamarackgap/ownership/takeover.py
+++ b/tamarackgap/ownership/takeover.py
@@ -56,7 +56,7 @@
         """The record whose epoch is to end."""
         return self._record
 
-    def answered(
+    def record_answer(
         self, witness: str, answer: messages.Sealed, now: types.Seconds
     ) -> None:
         """Takes a witness's answer in.
--- a/tamarackgap/ownership/witnessing.py
+++ b/tamarackgap/ownership/witnesshandler.py
@@ -11,7 +11,7 @@
 _GRANTING = (types.WitnessState.OPEN, types.WitnessState.RETIRED)
 
 
-class Witnessing:
+class WitnessHandler:
     """Answers owners and successors for one incarnation."""
 
     def __init__(
--- a/tamarackgap/processes/daemon.py
+++ b/tamarackgap/processes/daemon.py
@@ -174,7 +174,7 @@
             self._target.announcement is not None
             or now - self._started > _FIRST_ANNOUNCEMENT_S
         ):
-            self._core.accept(
+            self._core.set_target_state(
                 self._target.takes_work
                 and self._owner.is_fit()
                 and not leaving,
@@ -193,7 +193,7 @@
         self._owner.resize(policy)
 
     def _tell_load(self) -> None:
-        self._core.served(self._owner.rates(), time.monotonic())
+        self._core.report_load(self._owner.rates(), time.monotonic())
         self._carry_out()
 
     def _carry_out(self) -> None:
@@ -210,9 +210,9 @@
                             self._committed, change.transaction.change
                         ),
                     )
-                case effects.Decision(event=event, fields=fields):
+                case effects.LogLine(event=event, fields=fields):
                     self._log_decision(event, fields)
-                case effects.Refresh():
+                case effects.ReadTable():
                     self._reader.read_soon()
         self._granter.renew()
 
@@ -270,7 +270,7 @@
         now = time.monotonic()
         if state is not effects.CommitState.UNKNOWN:
             self._reader.heard()
-        self._core.committed(change, state, rows, now)
+        self._core.handle_commit_result(change, state, rows, now)
         self._carry_out()
 
     # The target.
@@ -296,7 +296,7 @@
             or self._owner.in_progress
         ):
             return
-        self._core.release(now)
+        self._core.release_lease(now)
         self._carry_out()
 
     @circuits.handler("signal", channel="*")
@@ -320,7 +320,7 @@
         idle = not self._entry.in_flight and not self._owner.in_progress
         if (gone and idle and not self._core.owned) or now > self._leave_by:
             if self._core.owned:
-                self._core.release(now)
+                self._core.release_lease(now)
                 self._carry_out()
             logs.event("stopped", in_progress=self._owner.in_progress)
             self._stopped = True
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -164,7 +164,9 @@
             self._target_refused,
             self._crashes,
         )
-        self._hand_offs = handoff.HandOffs(self._holds, self._core.handed_off)
+        self._hand_offs = handoff.HandOffs(
+            self._holds, self._core.slots_released
+        )
         self._budgets = retries.ServiceBudgets(
             settings.router_reruns / 100, settings.router_extra_reruns
         )
@@ -178,7 +180,7 @@
             self._crashes,
             settings.daemon_data_centre,
         )
-        self._core.alive = self._entry.is_heard
+        self._core.is_reachable = self._entry.is_heard
         self._neighbours = neighbours.Neighbours(
             self._core,
             self._peers,
@@ -354,7 +356,7 @@
         """Lets the successors serve at once: the target holds no key."""
         if self._core.owned:
             logs.event("keys_abandoned", reason=reason)
-            self._core.release(now())
+            self._core.release_lease(now())
         self._holds.begin_anew()
         self._carry_out()
 
@@ -389,7 +391,7 @@
     def _rows_read(
         self, rows: list[records.Row], revision: int, as_of: float
     ) -> None:
-        self._core.read(_readable(rows), revision, now(), as_of)
+        self._core.apply_table_read(_readable(rows), revision, now(), as_of)
         members = self._core.view.members()
         linked = {record.peer_address for record in members}
         self._peers.keep(linked | self._entry.addresses())
@@ -399,7 +401,7 @@
 
     def _read_failed(self, problem: str) -> None:
         del problem
-        self._core.table_failed()
+        self._core.record_table_failure()
 
     def _committed(
         self,
@@ -407,7 +409,7 @@
         state: effects.CommitState,
         rows: list[records.Row],
     ) -> None:
-        self._core.committed(change, state, _readable(rows), now())
+        self._core.handle_commit_result(change, state, _readable(rows), now())
         self._carry_out()
 
     def _table_changed(self, table: routetable.RouteTable) -> None:
@@ -457,8 +459,8 @@
         self._peers.send(self._core.incarnation, address, completion)
 
     def _tell_load(self) -> None:
-        self._core.calm = self._runner.utilisation < _CALM_UTILISATION
-        self._core.served(self._runner.rates(), now())
+        self._core.has_low_load = self._runner.utilisation < _CALM_UTILISATION
+        self._core.report_load(self._runner.rates(), now())
         self._carry_out()
 
     # The loop's turns.
@@ -469,7 +471,7 @@
             self._beside.check(self._runner.answered_at, moment)
         )
         leaving = self._leave_at is not None
-        self._core.accept(
+        self._core.set_target_state(
             self._beside.phase is beside.Phase.SERVING and not leaving, True
         )
         self._core.tick(moment)
@@ -497,17 +499,17 @@
                             self._committed, change.transaction.change
                         ),
                     )
-                case effects.Decision(event=event, fields=fields):
+                case effects.LogLine(event=event, fields=fields):
                     self._metrics.event(event)
                     logs.event(
                         event, incarnation=self._core.incarnation, **fields
                     )
-                case effects.HandOff(moving=moving):
+                case effects.ReleaseSlots(slots=moving):
                     if moving:
                         self._hand_offs.begin(moving)
                     else:
                         self._hand_offs.end()
-                case effects.Refresh(urgent=urgent):
+                case effects.ReadTable(urgent=urgent):
                     # The long poll brings it, after a pause at most.
                     if urgent:
                         self._outside.store.hurry()
@@ -661,10 +663,10 @@
         protocol.ownership_settings(settings),
         # Targets enforce the end of their holds themselves.
         linger=0.0,
-        ordered=True,
-        half_life=_LOAD_HALF_LIFE_S,
-        unsettled=_LOAD_UNSETTLED_S,
-        tolerance=_TOLERANCE_PERCENT,
+        ordered_keys=True,
+        load_half_life=_LOAD_HALF_LIFE_S,
+        load_warmup=_LOAD_UNSETTLED_S,
+        min_tolerance=_TOLERANCE_PERCENT,
         anchor=settings.ownership_anchor / 1000,
     )
 
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -155,7 +155,7 @@
         waiting=queue.waiting,
         in_flight=parts.entry.in_flight,
         table_revision=core.view.cursor,
-        table_read_age_ms=_ms(moment - core.read_as_of),
+        table_read_age_ms=_ms(moment - core.table_as_of),
         routes_version=version,
         routes_age_ms=_ms(moment - since),
         pending=core.pending.kind.value if core.pending else "",
--- a/tamarackgap/table/tablereader.py
+++ b/tamarackgap/table/tablereader.py
@@ -97,10 +97,10 @@
             case result.Success(tableclient.Changes() as found):
                 self.heard()
                 now = self._timers.now
-                self._core.read(found.rows, found.revision, now)
+                self._core.apply_table_read(found.rows, found.revision, now)
                 self._read_done()
             case result.Failure(problem):
                 if self._failing_since is None:
                     self._failing_since = self._timers.now
-                self._core.table_failed()
+                self._core.record_table_failure()
                 logs.event("table_read_failed", problem=problem)
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -112,7 +112,7 @@
         self._legs: dict[tuple[str, int], Leg] = {}
         self._instance = ""
         self._leave_at = 0.0
-        self._meter = heat.SlotMeter(timers.now, core.settings.half_life)
+        self._meter = heat.SlotMeter(timers.now, core.settings.load_half_life)
         self._draining = False
         # Whether each key has one owner among the service's targets.
         self.keyed = False
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -187,8 +187,8 @@
     found.table_up = False
     found.run(1)
     node = found.nodes["seats-0"]
-    node.core.accept(False)
-    node.core.release(node.clock(found.now))
+    node.core.set_target_state(False)
+    node.core.release_lease(node.clock(found.now))
     found.run(2)
     assert found.all_served()
     assert worst(found) <= MOVE_GAP_S
@@ -286,11 +286,13 @@
     found = settled()
     found.table_up = False
     node = found.nodes["seats-0"]
-    node.core.accept(False)
+    node.core.set_target_state(False)
     assert found.run(3, lambda: node.core.pending is not None) is not None
     pending = node.core.pending
     conflict = effects.CommitState.CONFLICT
-    node.core.committed("earlier", conflict, [], node.clock(found.now))
+    node.core.handle_commit_result(
+        "earlier", conflict, [], node.clock(found.now)
+    )
     assert node.core.pending is pending
 
 
@@ -372,7 +374,7 @@
 
     for node in subject.nodes.values():
         # Only processes that live are heard; the old ones are not.
-        node.core.alive = hears
+        node.core.is_reachable = hears
     assert subject.run(2.5, subject.all_served) is not None
     assert _owners(subject) == before
     assert not subject.double
@@ -388,7 +390,7 @@
         )
 
     for node in subject.nodes.values():
-        node.core.alive = hears
+        node.core.is_reachable = hears
 
 
 def test_owner_and_witnesses_lost_together_are_succeeded_without_a_person():
@@ -403,7 +405,7 @@
         if node.core.incarnation in lost:
             subject.kill(name)
     assert not subject.all_served()
-    limit = effects.condemn_after(owner.core.settings)
+    limit = effects.challenge_timeout(owner.core.settings)
     taken = subject.run(limit + 8, subject.all_served)
     assert taken is not None
     assert taken > 5.0
@@ -417,7 +419,7 @@
     before = _owners(subject)
     victim = next(iter(subject.nodes.values())).core.incarnation
     for node in subject.nodes.values():
-        node.core.alive = lambda name: name != victim
+        node.core.is_reachable = lambda name: name != victim
     subject.run(8)
     assert subject.events("commit")
     kinds = [fields["kind"] for fields in subject.events("commit")]
@@ -434,12 +436,12 @@
     victim = next(iter(subject.nodes.values()))
     name = victim.core.incarnation
     for node in subject.nodes.values():
-        node.core.alive = lambda other: other != name
+        node.core.is_reachable = lambda other: other != name
     victim.read_only = True
     other = subject.nodes["seats-1"]
     assert subject.run(6, lambda: name in other.core.view.challenges())
     # It reads the challenge until shortly before its record is closed.
-    subject.run(effects.condemn_after(victim.core.settings) - 0.5)
+    subject.run(effects.challenge_timeout(victim.core.settings) - 0.5)
     victim.blind = True
     subject.run(4)
     kinds = [fields["kind"] for fields in subject.events("commit")]
@@ -470,8 +472,8 @@
     gone = list(subject.nodes)[:2]
     for name in gone:
         node = subject.nodes[name]
-        node.core.accept(False)
-        node.core.release(node.clock(subject.now))
+        node.core.set_target_state(False)
+        node.core.release_lease(node.clock(subject.now))
     subject.run(8)
     for slot, owners in before.items():
         if owners[0] not in gone:
@@ -482,28 +484,28 @@
 def test_a_lease_that_is_lost_ends_a_hand_off():
     # The slots stayed out of use under the next lease: a target had started
     # anew before it had released them.
-    subject = world.World(seed=10, ordered=True)
+    subject = world.World(seed=10, ordered_keys=True)
     subject.deploy(4)
     assert subject.run(20, subject.settled) is not None
     node = subject.nodes["seats-0"]
     subject.targets_release = False
-    node.core.accept(False)
+    node.core.set_target_state(False)
     subject.run(1)
-    assert node.core.is_handing_off
+    assert node.core.is_releasing_slots
     node.core.take_effects()
-    node.core.release(node.clock(subject.now))
-    assert not node.core.is_handing_off
-    assert effects.HandOff(frozenset()) in node.core.take_effects()
+    node.core.release_lease(node.clock(subject.now))
+    assert not node.core.is_releasing_slots
+    assert effects.ReleaseSlots(frozenset()) in node.core.take_effects()
 
 
 def test_slots_that_must_stay_are_not_given_away():
-    subject = world.World(seed=9, ordered=True)
+    subject = world.World(seed=9, ordered_keys=True)
     subject.deploy(4)
     assert subject.run(20, subject.settled) is not None
     node = subject.nodes["seats-0"]
     stays = sorted(node.core.owned)[0]
     node.busy = {stays}
-    node.core.accept(False)
+    node.core.set_target_state(False)
     subject.run(6)
     assert sorted(node.core.owned) == [stays]
 
@@ -555,7 +557,7 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_after_a_restart_of_all_each_key_is_served_within_a_second(seed):
-    subject = world.World(seed, ordered=True, linger=0.0)
+    subject = world.World(seed, ordered_keys=True, linger=0.0)
     subject.deploy(5)
     assert subject.run(20, subject.settled) is not None
     for name in list(subject.nodes):
@@ -590,4 +592,4 @@
     row = records.Row(record.key, records.encode(record), types.Revision(9))
     core.merge([row], clock)
     assert len(core.owned) == 4
-    assert effects.Refresh(urgent=True) in core.take_effects()
+    assert effects.ReadTable(urgent=True) in core.take_effects()
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -25,7 +25,7 @@
 
 
 def answer(subject, witness, state, age, now=10.0):
-    subject.answered(witness, messages.Sealed("o", 3, state, age), now)
+    subject.record_answer(witness, messages.Sealed("o", 3, state, age), now)
 
 
 def test_one_seal_is_not_enough():
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -42,7 +42,7 @@
             lambda slot: slot in self.busy,
             self.clock(start),
         )
-        self.core.accept(True)
+        self.core.set_target_state(True)
 
     def clock(self, now):
         return self.offset + now * self.rate
@@ -167,7 +167,7 @@
         node.inbox.clear()
         if self.now >= node.told_at:
             node.told_at = self.now + 1.0
-            node.core.served({}, clock)
+            node.core.report_load({}, clock)
         node.core.tick(clock)
         if not node.reading and self.now >= node.read_at:
             self._read(node)
@@ -192,13 +192,13 @@
                 )
             case effects.Commit(change=change):
                 self._commit(node, change.transaction)
-            case effects.Decision(event=event, fields=fields):
+            case effects.LogLine(event=event, fields=fields):
                 self.log.append((event, {"at": node.name, **fields}))
-            case effects.Refresh():
+            case effects.ReadTable():
                 node.read_at = self.now
-            case effects.HandOff(moving=moving):
+            case effects.ReleaseSlots(slots=moving):
                 if moving and self.targets_release:
-                    node.core.handed_off({})
+                    node.core.slots_released({})
 
     def _send(self, node, address, frame):
         if node.mute or self.rng.random() < self.drop:
@@ -220,7 +220,7 @@
 
         def answer(state, rows):
             clock = node.clock(self.now)
-            core.committed(transaction.change, state, rows, clock)
+            core.handle_commit_result(transaction.change, state, rows, clock)
 
         def arrive():
             if not self.table_up or node.read_only or node.blind:
@@ -247,10 +247,10 @@
             node.reading = False
             node.read_at = self.now + 0.25
             if not self.table_up or node.mute or node.deaf or node.blind:
-                core.table_failed()
+                core.record_table_failure()
                 return
             revision, rows = self.table.since(core.view.cursor)
-            core.read(rows, revision, node.clock(self.now))
+            core.apply_table_read(rows, revision, node.clock(self.now))
 
         self.later(2 * self.table_delay, arrive)
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -109,7 +109,7 @@
         state = self.real[index].renew("o", 1, self.now)
         granted = STATES[state] in "or"
         sent = self.now if granted else None
-        self.grants.answered(str(index), state, self.now, sent)
+        self.grants.record_answer(str(index), state, self.now, sent)
         steps = dict(self.spec._renew(self.model[index]))
         assert ("grant" in steps) == granted
         if granted:
@@ -130,7 +130,7 @@
         state, age = self.real[index].seal("o", 1, self.now)
         known = age if age != float("inf") else -1.0
         answer = messages.Sealed("o", 1, state, known)
-        self.takeover.answered(str(index), answer, self.now)
+        self.takeover.record_answer(str(index), answer, self.now)
         self.model[index] = self.spec._seal(wit)
 
     @stateful.rule()
--- a/tests/traffic/test_keyholds.py
+++ b/tests/traffic/test_keyholds.py
@@ -47,7 +47,7 @@
 
     def own(self, first, last, fence, handover=""):
         for slot in range(first, last + 1):
-            self.owned[slot] = effects.Owned(fence, 0.0, handover)
+            self.owned[slot] = effects.OwnedSlot(fence, 0.0, handover)
         self.slots_version += 1
 
     def lose(self, first, last):
--- a/tests/traffic/test_runner.py
+++ b/tests/traffic/test_runner.py
@@ -21,7 +21,7 @@
         self.now = 1.0
         core = module_types.SimpleNamespace(
             is_own={"i", "earlier"}.__contains__,
-            settings=module_types.SimpleNamespace(half_life=2),
+            settings=module_types.SimpleNamespace(load_half_life=2),
         )
         self.runner = runner.Runner(
             "s",
@@ -82,7 +82,7 @@
         self.timers = module_types.SimpleNamespace(now=1.0)
         core = module_types.SimpleNamespace(
             is_own={"i", "earlier"}.__contains__,
-            settings=module_types.SimpleNamespace(half_life=2),
+            settings=module_types.SimpleNamespace(load_half_life=2),
         )
         self.runner = runner.Runner(
             "s",
