--- a/bench/loads.py
+++ b/bench/loads.py
@@ -31,11 +31,11 @@
 
 
 class Kind(msgspec.Struct, frozen=True):
-    """A kind of call: its rank, aim, deadline and work, in seconds."""
+    """A kind of call: rank, latency objective, deadline and work, seconds."""
 
     name: str
     rank: int
-    aim: float
+    latency_objective: float
     deadline: float
     work: float
 
@@ -109,7 +109,7 @@
 
     Attributes:
         asked: Callers, by kind.
-        in_aim: Answers in their aim, by kind.
+        in_aim: Answers within their latency objective, by kind.
         late: Later answers.
         refused: Callers that were refused for good or got nothing.
         held: Seconds from coming to being refused, of each refusal.
@@ -129,11 +129,11 @@
 
     @property
     def served_in_aim(self) -> float:
-        """Share of the callers that were answered in their aim."""
+        """Share of the callers answered within their objective."""
         return sum(self.in_aim.values()) / max(1, sum(self.asked.values()))
 
     def share(self, name: str) -> float:
-        """Share of a kind's callers that were answered in their aim."""
+        """Share of a kind's callers answered within their objective."""
         return self.in_aim[name] / max(1, self.asked[name])
 
     def held_for(self, part: float) -> float:
@@ -148,7 +148,7 @@
     def __init__(self) -> None:
         self.capacity = _SLOTS
         self.running = 0
-        self.slowness = 0.0
+        self.relative_latency = 0.0
         self._queue: collections.deque = collections.deque()
 
     @property
@@ -156,27 +156,29 @@
         """Number of calls that wait."""
         return len(self._queue)
 
-    def offer(self, waiting: admission.Waiting, now: float) -> None:
+    def offer(self, waiting: admission.QueuedCall, now: float) -> None:
         """Queues a call."""
         self._queue.append(waiting)
-        self.pump(now)
+        self.start_waiting(now)
 
-    def finished(self, worked: float | None, aim: float, now: float) -> None:
+    def finish(
+        self, worked: float | None, latency_objective: float, now: float
+    ) -> None:
         """Frees a slot."""
-        del worked, aim
+        del worked, latency_objective
         self.running -= 1
-        self.pump(now)
+        self.start_waiting(now)
 
-    def sweep(self, now: float) -> None:
+    def refuse_late(self, now: float) -> None:
         """Refuses what is past its deadline."""
         while self._queue and self._queue[0].deadline <= now:
             self._queue.popleft().refuse(
                 admission.Refusal(0.1, 0.0, 0.0, self.running, len(self._queue))
             )
 
-    def pump(self, now: float) -> None:
+    def start_waiting(self, now: float) -> None:
         """Starts calls while there are slots."""
-        self.sweep(now)
+        self.refuse_late(now)
         while self._queue and self.running < self.capacity:
             self.running += 1
             self._queue.popleft().start()
@@ -253,7 +255,7 @@
     def _queue(self) -> object:
         if not self._shipped:
             return FirstCome()
-        queue = admission.Admission()
+        queue = admission.AdmissionQueue()
         queue.resize(self._scenario.slots, 0.0)
         return queue
 
@@ -296,7 +298,7 @@
     ) -> None:
         target = self._choose(known, tried)
         told = known[target.name]
-        told.sent += 1
+        told.sent_since_report += 1
 
         def start() -> None:
             if target is self._targets[-1]:
@@ -305,17 +307,17 @@
             self._at(self._now + work, lambda: done(work))
 
         def done(work: float) -> None:
-            target.queue.finished(work, kind.aim, self._now)
+            target.queue.finish(work, kind.latency_objective, self._now)
             lossy = target in self._targets[: self._scenario.lossy]
             if lossy and self._rng.random() < _LOST_SHARE:
-                told.failed(self._now)
+                told.record_failure(self._now)
                 self.tally.refused += 1
                 return
-            told.succeeded(self._now)
+            told.record_success(self._now)
             if self._many:
                 self._learn(told, target)
             taken = self._now - first
-            if taken <= kind.aim:
+            if taken <= kind.latency_objective:
                 self.tally.in_aim[kind.name] += 1
             elif self._now <= came + kind.deadline:
                 self.tally.late += 1
@@ -337,10 +339,10 @@
                 self.tally.refused += 1
 
         target.queue.offer(
-            admission.Waiting(
+            admission.QueuedCall(
                 kind.rank,
-                kind.aim,
-                first + kind.aim,
+                kind.latency_objective,
+                first + kind.latency_objective,
                 came + kind.deadline,
                 start,
                 refuse,
@@ -365,16 +367,16 @@
 
     def _learn(self, told: balancer.Candidate, target: _Target) -> None:
         """Lets an entry know a target's load, as an answer tells it."""
-        told.busy = target.queue.running + target.queue.waiting
-        told.sent = 0
-        told.heard = self._now
+        told.reported_load = target.queue.running + target.queue.waiting
+        told.sent_since_report = 0
+        told.last_heard = self._now
 
     def _tell(self, target: _Target) -> None:
         """Lets all entries know of a target, as its daemon does."""
         for known in self._told:
             told = known[target.name]
             told.capacity = target.queue.capacity
-            told.slowness = target.queue.slowness
+            told.relative_latency = target.queue.relative_latency
             self._learn(told, target)
 
     def _tell_again(self, target: _Target) -> None:
@@ -386,7 +388,7 @@
 
     def _sweep(self) -> None:
         for target in self._targets:
-            target.queue.sweep(self._now)
+            target.queue.refuse_late(self._now)
         if self._now < _SECONDS + 3:
             self._at(self._now + _SWEEP_S, self._sweep)
 
--- a/tamarackgap/peers/calls.py
+++ b/tamarackgap/peers/calls.py
@@ -38,8 +38,10 @@
         remaining: Seconds until the caller's deadline.
         rank: 0 is served first.
         idempotent: Whether running it twice does no harm.
-        aim: Time within which the route's answers are of full use, seconds.
-        due: What is left of it, seconds; negative where it has passed.
+        latency_objective: Time within which the route's answers are of full
+            use, seconds.
+        objective_remaining: What is left of it, seconds; negative where it has
+            passed.
     """
 
     owner: types.Incarnation
@@ -49,8 +51,8 @@
     remaining: float
     rank: int
     idempotent: bool
-    aim: float
-    due: float
+    latency_objective: float
+    objective_remaining: float
 
 
 class Completion(
@@ -129,8 +131,8 @@
         capacity: Calls that the target runs at once.
         running: Calls at the target.
         waiting: Calls in the daemon's queue.
-        slowness: Usual time of a call at the target, as a part of its
-            route's aim; 0 where it has served none.
+        relative_latency: Usual time of a call at the target, as a part of its
+            route's latency objective; 0 where it has served none.
         version: Version of the route table in force there.
         data_centre: Where the daemon stands.
         process: Id of the process, the same for all its incarnations.
@@ -142,7 +144,7 @@
     capacity: int
     running: int
     waiting: int
-    slowness: float
+    relative_latency: float
     version: int
     data_centre: types.DataCentre
     process: str
--- a/tamarackgap/platform/__main__.py
+++ b/tamarackgap/platform/__main__.py
@@ -11,7 +11,7 @@
 from tamarackgap.platform import operators, requests, servers, store
 from tamarackgap.processes import router
 from tamarackgap.settings import config
-from tamarackgap.traffic import boundary, runner
+from tamarackgap.traffic import adapter, runner
 
 _SETTINGS_VARIABLE = "TAMARACKGAP_NODE_FILE"
 _EXIT_USAGE = 2
@@ -35,7 +35,7 @@
     logs.start(settings.daemon_log, settings.daemon_name)
     daemon = router.Router(settings, read_settings)
     daemon.begin(
-        boundary.Boundary(
+        adapter.Adapter(
             store=store.Store(
                 daemon.poller, daemon.timers, settings.table_address
             ),
--- a/tamarackgap/platform/operators.py
+++ b/tamarackgap/platform/operators.py
@@ -103,8 +103,8 @@
         ),
         idempotent=_IDEMPOTENT[spec.kind],
         timeout=spec.timeout_ms / 1000,
-        aim=spec.target_latency_ms / 1000,
-        attempts=spec.max_attempts,
+        latency_objective=spec.target_latency_ms / 1000,
+        max_attempts=spec.max_attempts,
         rank=spec.priority,
     )
 
--- a/tamarackgap/platform/requests.py
+++ b/tamarackgap/platform/requests.py
@@ -7,7 +7,7 @@
 from tamarackgap.peers import calls
 from tamarackgap.placement import slots
 from tamarackgap.platform import names
-from tamarackgap.traffic import boundary
+from tamarackgap.traffic import adapter
 
 # What concerns one connection only, what this system sets itself, and what
 # is written anew.
@@ -39,7 +39,7 @@
 
 def decode_call(
     incoming: door.Incoming, origin: types.ServiceName
-) -> result.Result[boundary.Asked, str]:
+) -> result.Result[adapter.DecodedRequest, str]:
     """Returns a client's request, or what is wrong with it."""
     host = b""
     request = b""
@@ -79,7 +79,7 @@
         position,
     )
     name = host.decode("latin-1").partition(":")[0]
-    return result.Success(boundary.Asked(name, call, timeout))
+    return result.Success(adapter.DecodedRequest(name, call, timeout))
 
 
 def encode_call(dispatch: calls.Dispatch, left_ms: int, instance: str) -> bytes:
@@ -165,7 +165,7 @@
     return running >= capacity or waiting > 0
 
 
-def encode_answer(completion: calls.Completion) -> boundary.Said:
+def encode_answer(completion: calls.Completion) -> adapter.Response:
     """Returns how a completion is told to the client."""
     if completion.verdict is types.Verdict.ANSWERED:
         headers = [
@@ -173,12 +173,12 @@
             for line in completion.head.split(b"\r\n")
             if line
         ]
-        return boundary.Said(completion.status, headers, completion.body)
+        return adapter.Response(completion.status, headers, completion.body)
     reason = completion.reason
     if reason is types.Reason.BAD_REQUEST:
-        return boundary.Said(_BAD, [], b"")
+        return adapter.Response(_BAD, [], b"")
     if completion.verdict is types.Verdict.MAY_HAVE_RUN:
         timed_out = reason is types.Reason.NO_ANSWER
-        return boundary.Said(_TIMED_OUT if timed_out else _FAILED, [], b"")
+        return adapter.Response(_TIMED_OUT if timed_out else _FAILED, [], b"")
     wait = f"{completion.retry_after:.3f}".encode("ascii")
-    return boundary.Said(_UNAVAILABLE, [(names.RETRY_AFTER, wait)], b"")
+    return adapter.Response(_UNAVAILABLE, [(names.RETRY_AFTER, wait)], b"")
--- a/tamarackgap/platform/servers.py
+++ b/tamarackgap/platform/servers.py
@@ -5,7 +5,7 @@
 from tamarackgap import logs
 from tamarackgap.network import door, httplink
 from tamarackgap.platform import names, requests
-from tamarackgap.traffic import beside, keyholds
+from tamarackgap.traffic import localtarget, slotgrants
 
 _OK = 200
 _SUPERSEDED = 409
@@ -37,7 +37,9 @@
     fence: int
 
 
-def decode_announcement(incoming: door.Incoming) -> beside.Announcement | None:
+def decode_announcement(
+    incoming: door.Incoming,
+) -> localtarget.Announcement | None:
     """Returns what a server says of itself, or None for anything else."""
     path = incoming.target.partition("?")[0]
     if incoming.method != "POST" or not path.startswith(names.INSTANCES):
@@ -47,7 +49,7 @@
     if not instance or not slash:
         return None
     if "/" + verb == names.DEREGISTER:
-        return beside.Announcement(instance, final=True)
+        return localtarget.Announcement(instance, final=True)
     if "/" + verb != names.HEARTBEAT:
         return None
     try:
@@ -58,7 +60,7 @@
     if said.state not in _STATES:
         logs.event("announcement_malformed", error=f"state {said.state}")
         return None
-    return beside.Announcement(
+    return localtarget.Announcement(
         instance,
         said.service,
         said.slots,
@@ -69,21 +71,21 @@
     )
 
 
-def encode_order(order: keyholds.Grant | keyholds.Release) -> bytes:
+def encode_order(order: slotgrants.Grant | slotgrants.Release) -> bytes:
     """Returns the bytes of an order to the server beside this daemon."""
     match order:
-        case keyholds.Grant():
+        case slotgrants.Grant():
             path = names.GRANT
             body = msgspec.json.encode(
                 _GrantBody(
                     order.first,
                     order.last,
                     order.fence,
-                    int(order.hold * 1000),
+                    int(order.hold_s * 1000),
                     order.handover or msgspec.UNSET,
                 )
             )
-        case keyholds.Release():
+        case slotgrants.Release():
             path = names.RELEASE
             body = msgspec.json.encode(
                 _ReleaseBody(order.first, order.last, order.fence)
@@ -91,10 +93,10 @@
     return requests.encode_json("POST", path, "target", body)
 
 
-def judge_order(answer: httplink.Answer) -> keyholds.Ordered:
+def judge_order(answer: httplink.Answer) -> slotgrants.OrderResult:
     """Returns what a server's answer to an order means."""
     handover = answer.header(names.HANDOVER) or b""
-    return keyholds.Ordered(
+    return slotgrants.OrderResult(
         answer.status == _OK,
         answer.status == _SUPERSEDED,
         handover.decode("latin-1"),
--- a/tamarackgap/processes/neighbours.py
+++ b/tamarackgap/processes/neighbours.py
@@ -47,7 +47,7 @@
         links: peers.Peers,
         run: runner.Runner,
         entry: dispatcher.Dispatcher,
-        crashed: crashes.Crashes,
+        crashed: crashes.CrashHistory,
         timers: scheduler.Scheduler,
         table: Callable[[], routetable.RouteTable | None],
     ) -> None:
@@ -83,7 +83,9 @@
         """Takes a message in; returns whether it was for this part."""
         match envelope.message:
             case calls.Status() as status:
-                self._entry.heard(envelope.sender, envelope.address, status)
+                self._entry.update_status(
+                    envelope.sender, envelope.address, status
+                )
                 self._heard_version(status.version, envelope.address)
             case calls.TargetCrash() as news:
                 self._note_crash(news)
@@ -102,7 +104,7 @@
         """Tells all of the target here."""
         status = self._status()
         own = self._core.incarnation
-        self._entry.heard(own, self._core.settings.peer_address, status)
+        self._entry.update_status(own, self._core.settings.peer_address, status)
         self._told = {
             record.incarnation for record in self._core.view.members()
         }
@@ -127,7 +129,7 @@
 
     def tell_crash(self) -> None:
         """Tells all what the target here ran when it crashed."""
-        ended = self._runner.take_crashed()
+        ended = self._runner.pop_crashed_runs()
         if not ended:
             return
         now = self._timers.now
@@ -156,7 +158,7 @@
             queue.capacity,
             queue.running,
             queue.waiting,
-            queue.slowness,
+            queue.relative_latency,
             table.version if table is not None else 0,
             types.DataCentre(self._core.settings.data_centre),
             self._process,
@@ -166,9 +168,9 @@
     def _note_crash(self, news: calls.TargetCrash) -> None:
         now = self._timers.now
         for content, (begun, ended) in news.contents.items():
-            if self._crashes.note(content, now - begun, now - ended):
+            if self._crashes.record(content, now - begun, now - ended):
                 logs.event(
-                    "content_barred", content=content, s=crashes.BARRED_S
+                    "content_barred", content=content, s=crashes.BAR_TIME_S
                 )
 
     def _heard_version(self, version: int, address: str) -> None:
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -21,14 +21,14 @@
 from tamarackgap.requests import retries
 from tamarackgap.settings import config
 from tamarackgap.traffic import (
-    beside,
-    boundary,
+    adapter,
     crashes,
     dispatcher,
-    handoff,
-    keyholds,
+    localtarget,
     routetable,
     runner,
+    slotgrants,
+    slotrelease,
 )
 
 _TICK_S = 0.05
@@ -100,14 +100,14 @@
         self.poller.turn = self.timers.turn
         self._table: routetable.RouteTable | None = None
         self._table_since = now()
-        self._index: routetable.Index | None = None
+        self._index: routetable.RouteIndex | None = None
         self._leave_at: float | None = None
         self._end_at = 0.0
         # When keys that were to move are given up instead, seconds.
         self._give_up_at = 0.0
         self._stopped = False
 
-    def begin(self, outside: boundary.Boundary) -> None:
+    def begin(self, outside: adapter.Adapter) -> None:
         """Binds all addresses, and starts.
 
         Args:
@@ -138,7 +138,7 @@
             _TARGET_SILENCE_MS,
         )
         lease = settings.ownership_lease / 1000
-        self._holds = keyholds.KeyHolds(
+        self._holds = slotgrants.SlotGrants(
             self._core,
             self._order,
             self.timers,
@@ -153,7 +153,7 @@
             settings.requests_body + settings.requests_answer + _ENVELOPE_BYTES,
             self._receive,
         )
-        self._crashes = crashes.Crashes()
+        self._crashes = crashes.CrashHistory()
         self._runner = runner.Runner(
             self._service,
             self._core,
@@ -164,7 +164,9 @@
             self._target_refused,
             self._crashes,
         )
-        self._hand_offs = handoff.HandOffs(self._holds, self._core.handed_off)
+        self._hand_offs = slotrelease.SlotReleaser(
+            self._holds, self._core.handed_off
+        )
         self._budgets = retries.ServiceBudgets(
             settings.router_reruns / 100, settings.router_extra_reruns
         )
@@ -188,8 +190,8 @@
             self.timers,
             lambda: self._table,
         )
-        self._runner.cleared = self._neighbours.tell_cleared
-        self._beside = beside.Beside(
+        self._runner.on_content_cleared = self._neighbours.tell_cleared
+        self._beside = localtarget.LocalTarget(
             self._service, settings.router_announce_interval / 1000, now()
         )
         self._metrics = metrics.Metrics(settings.daemon_name, self._service)
@@ -212,7 +214,7 @@
         outside.store.watch(self._rows_read, self._read_failed)
         outside.store.watch_operators(self._table_changed)
         self.timers.every(_TICK_S, self._tick)
-        self.timers.every(_SWEEP_S, self._runner.sweep)
+        self.timers.every(_SWEEP_S, self._runner.refuse_late)
         self.timers.every(_LOAD_S, self._tell_load)
 
     def _open(self, address: str, serve: door.Serve) -> door.Door:
@@ -226,7 +228,7 @@
                 logs.request_event("request_malformed", True, problem=problem)
                 incoming.answer(_BAD, [], b"")
                 return
-            case result.Success(boundary.Asked() as asked):
+            case result.Success(adapter.DecodedRequest() as asked):
                 pass
             case other:
                 raise AssertionError(other)
@@ -245,7 +247,7 @@
             incoming.answer(_NO_ROUTE, [], b"")
             return
         timeout = route.timeout if asked.timeout is None else asked.timeout
-        flight = self._entry.begin(
+        flight = self._entry.submit(
             asked.call,
             route,
             incoming.begun,
@@ -269,17 +271,17 @@
             incoming.answer(_BAD, [], b"")
             return
         incoming.answer(_OK, [], b"")
-        self._target_changed(self._beside.announced(said, now()))
-        if self._beside.phase is beside.Phase.SERVING:
+        self._target_changed(self._beside.handle_announcement(said, now()))
+        if self._beside.phase is localtarget.Phase.SERVING:
             self._holds.resume()
         if self._takes_calls:
             self._runner.attach(self._beside.instance, self._beside.capacity)
 
     def _target_refused(self) -> None:
-        self._target_changed(self._beside.lost())
+        self._target_changed(self._beside.handle_connection_refused())
 
-    def _target_changed(self, change: beside.Change) -> None:
-        if change is beside.Change.NONE:
+    def _target_changed(self, change: localtarget.Transition) -> None:
+        if change is localtarget.Transition.NONE:
             return
         logs.event(
             "target_changed",
@@ -287,19 +289,22 @@
             instance=self._beside.instance,
             phase=self._beside.phase.value,
         )
-        if change in (beside.Change.NEW_LIFE, beside.Change.LOST):
+        if change in (
+            localtarget.Transition.NEW_PROCESS,
+            localtarget.Transition.LOST,
+        ):
             self._neighbours.tell_crash()
         match change:
-            case beside.Change.NEW_LIFE:
+            case localtarget.Transition.NEW_PROCESS:
                 self._replace_target()
-                if self._beside.phase is beside.Phase.LEAVING:
+                if self._beside.phase is localtarget.Phase.LEAVING:
                     self._runner.drain()
-            case beside.Change.LEAVING:
+            case localtarget.Transition.LEAVING:
                 self._runner.drain()
-            case beside.Change.LOST:
+            case localtarget.Transition.LOST:
                 self._runner.detach()
                 self._abandon_keys("target-gone")
-            case beside.Change.SILENT:
+            case localtarget.Transition.SILENT:
                 self._runner.detach()
                 # It may live, and hold keys until its holds have ended.
                 self.timers.after(self._holds.pause(), self._abandon_if_silent)
@@ -310,12 +315,12 @@
 
         The witnesses alone are enough for that.
         """
-        if moment < self._give_up_at or self._holds.releasing:
+        if moment < self._give_up_at or self._holds.has_pending_releases:
             return
         if self._core.owned:
             self._give_up_at = moment + _GIVE_UP_S
             logs.event("keys_given_up", slots=len(self._core.owned))
-            self._holds.give_up(
+            self._holds.release_all(
                 functools.partial(self._abandon_keys, "leaving")
             )
 
@@ -341,13 +346,13 @@
         if incarnation == self._core.incarnation:
             self._abandon_keys("target-started-anew")
         else:
-            self._holds.begin_anew()
+            self._holds.reset()
 
     def _must_stay(self, slot: int) -> bool:
-        return not self._holds.confirmed(slot)
+        return not self._holds.is_confirmed(slot)
 
     def _abandon_if_silent(self) -> None:
-        if self._beside.phase is beside.Phase.ABSENT:
+        if self._beside.phase is localtarget.Phase.ABSENT:
             self._abandon_keys("target-silent")
 
     def _abandon_keys(self, reason: str) -> None:
@@ -355,14 +360,14 @@
         if self._core.owned:
             logs.event("keys_abandoned", reason=reason)
             self._core.release(now())
-        self._holds.begin_anew()
+        self._holds.reset()
         self._carry_out()
 
     def _order(
         self,
-        order: keyholds.Grant | keyholds.Release,
+        order: slotgrants.Grant | slotgrants.Release,
         timeout: float,
-        done: Callable[[keyholds.Ordered], None],
+        done: Callable[[slotgrants.OrderResult], None],
     ) -> None:
         def answered(
             outcome: result.Result[httplink.Answer, exchanges.Failure],
@@ -374,10 +379,10 @@
                     logs.event("order_unanswered", cause=cause.value)
                     if cause is exchanges.Cause.REFUSED:
                         self._target_refused()
-                    done(keyholds.Ordered(False))
+                    done(slotgrants.OrderResult(False))
 
         def build() -> bytes:
-            current = self._holds.as_written(order)
+            current = self._holds.with_remaining_hold(order)
             if current is None:
                 return b""
             return self._outside.encode_order(current)
@@ -415,7 +420,7 @@
             return
         self._table = table
         self._table_since = now()
-        self._index = routetable.Index(table)
+        self._index = routetable.RouteIndex(table)
         self._door.limits = table.limits
         self._entry.configure(table)
         service = table.services.get(self._service)
@@ -435,13 +440,13 @@
         sender = envelope.sender
         match envelope.message:
             case calls.Dispatch() as dispatch:
-                self._runner.take(
+                self._runner.submit(
                     dispatch,
                     sender,
                     functools.partial(self._reply, envelope.address),
                 )
             case calls.Completion() as completion:
-                self._entry.completed(sender, completion)
+                self._entry.handle_completion(sender, completion)
             case calls.Withdraw(leg=leg):
                 self._runner.withdraw(sender, leg)
             case calls.TableNews(source=source):
@@ -458,7 +463,7 @@
 
     def _tell_load(self) -> None:
         self._core.calm = self._runner.utilisation < _CALM_UTILISATION
-        self._core.served(self._runner.rates(), now())
+        self._core.served(self._runner.slot_loads(), now())
         self._carry_out()
 
     # The loop's turns.
@@ -466,17 +471,18 @@
     def _tick(self) -> None:
         moment = now()
         self._target_changed(
-            self._beside.check(self._runner.answered_at, moment)
+            self._beside.check_silence(self._runner.last_answered_at, moment)
         )
         leaving = self._leave_at is not None
         self._core.accept(
-            self._beside.phase is beside.Phase.SERVING and not leaving, True
+            self._beside.phase is localtarget.Phase.SERVING and not leaving,
+            True,
         )
         self._core.tick(moment)
         self._carry_out()
         self._neighbours.tell_newcomers()
-        self._entry.sweep()
-        if leaving or self._beside.phase is beside.Phase.LEAVING:
+        self._entry.fail_silent_legs()
+        if leaving or self._beside.phase is localtarget.Phase.LEAVING:
             self._give_keys_up(moment)
         else:
             self._give_up_at = moment + _GIVE_UP_S
@@ -516,7 +522,7 @@
     # Metrics.
 
     def _observe_request(
-        self, flight: dispatcher.Flight, completion: calls.Completion
+        self, flight: dispatcher.PendingRequest, completion: calls.Completion
     ) -> None:
         reason = completion.reason.value if completion.reason else ""
         elapsed = self.timers.now - flight.begun
@@ -597,7 +603,7 @@
         leaves = self._leave_at is not None and (
             now() >= self._leave_at - _STOP_BEFORE_S
         )
-        return self._beside.phase is beside.Phase.SERVING and not leaves
+        return self._beside.phase is localtarget.Phase.SERVING and not leaves
 
     def _stop_calls(self) -> None:
         self._runner.drain()
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -10,11 +10,11 @@
 from tamarackgap.ownership import ownership, reports
 from tamarackgap.placement import slots
 from tamarackgap.traffic import (
-    beside,
-    boundary,
+    adapter,
     dispatcher,
-    keyholds,
+    localtarget,
     runner,
+    slotgrants,
 )
 
 _OK = 200
@@ -22,7 +22,7 @@
 _NOT_FOUND = 404
 
 # Takes the query's fields; raises KeyError or ValueError if they are bad.
-Page = Callable[[dict[str, str]], boundary.Said]
+Page = Callable[[dict[str, str]], adapter.Response]
 
 
 class Parts(msgspec.Struct, frozen=True):
@@ -43,11 +43,11 @@
     """
 
     core: ownership.Ownership
-    target: beside.Beside
+    target: localtarget.LocalTarget
     runner: runner.Runner
     entry: dispatcher.Dispatcher
-    holds: keyholds.KeyHolds
-    store: boundary.Store
+    holds: slotgrants.SlotGrants
+    store: adapter.Store
     metrics: metrics.Metrics
     table: Callable[[], tuple[int, float]]
     gauges: Callable[[], dict[str, float]]
@@ -171,14 +171,14 @@
     found = reports.explanation(
         parts.core, service, query["key"], slot, parts.clock()
     )
-    if found.here and not parts.holds.held(slot, parts.clock()):
+    if found.here and not parts.holds.is_held(slot, parts.clock()):
         return msgspec.structs.replace(
             found, here=False, refusal="not-held-by-target"
         )
     return found
 
 
-def _metrics(parts: Parts) -> boundary.Said:
+def _metrics(parts: Parts) -> adapter.Response:
     found = status(parts)
     values = {
         "owned_slots": found.owned,
@@ -188,7 +188,7 @@
         "queued": found.waiting,
         "table_revision": found.table_revision,
         "renewal_lateness_seconds": parts.core.renewal_lateness,
-        "held_runs": parts.holds.runs,
+        "held_runs": parts.holds.range_count,
         "route_table_version": found.routes_version,
         "route_table_age_seconds": found.routes_age_ms / 1000,
         "table_read_age_seconds": found.table_read_age_ms / 1000,
@@ -202,12 +202,12 @@
         (name.lower().encode("ascii"), value.encode("ascii"))
         for name, value in headers.items()
     ]
-    return boundary.Said(_OK, said, body)
+    return adapter.Response(_OK, said, body)
 
 
-def _json(value: object) -> boundary.Said:
+def _json(value: object) -> adapter.Response:
     headers = [(b"content-type", b"application/json")]
-    return boundary.Said(_OK, headers, msgspec.json.encode(value))
+    return adapter.Response(_OK, headers, msgspec.json.encode(value))
 
 
 def _ms(seconds: float) -> int:
--- a/tamarackgap/traffic/boundary.py
+++ b/tamarackgap/traffic/adapter.py
@@ -15,10 +15,10 @@
 from tamarackgap.ownership import effects
 from tamarackgap.peers import calls
 from tamarackgap.placement import records
-from tamarackgap.traffic import beside, keyholds, routetable, runner
+from tamarackgap.traffic import localtarget, routetable, runner, slotgrants
 
 
-class Asked(msgspec.Struct, frozen=True):
+class DecodedRequest(msgspec.Struct, frozen=True):
     """A caller's request, decoded.
 
     Attributes:
@@ -32,7 +32,7 @@
     timeout: float | None
 
 
-class Said(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """An answer, as it is spelled to a caller or a target."""
 
     status: int
@@ -78,7 +78,7 @@
         """Returns how many calls were made, by kind and result."""
 
 
-class Boundary(msgspec.Struct, frozen=True):
+class Adapter(msgspec.Struct, frozen=True):
     """All that the router needs of the world around it.
 
     Attributes:
@@ -96,11 +96,13 @@
 
     store: Store
     decode_call: Callable[
-        [door.Incoming, types.ServiceName], result.Result[Asked, str]
+        [door.Incoming, types.ServiceName], result.Result[DecodedRequest, str]
     ]
-    encode_answer: Callable[[calls.Completion], Said]
+    encode_answer: Callable[[calls.Completion], Response]
     codec: runner.Codec
-    encode_order: Callable[[keyholds.Grant | keyholds.Release], bytes]
-    judge_order: Callable[[httplink.Answer], keyholds.Ordered]
-    decode_announcement: Callable[[door.Incoming], beside.Announcement | None]
+    encode_order: Callable[[slotgrants.Grant | slotgrants.Release], bytes]
+    judge_order: Callable[[httplink.Answer], slotgrants.OrderResult]
+    decode_announcement: Callable[
+        [door.Incoming], localtarget.Announcement | None
+    ]
     decode_table: Callable[[bytes], routetable.RouteTable | None]
--- a/tamarackgap/traffic/admission.py
+++ b/tamarackgap/traffic/admission.py
@@ -47,36 +47,37 @@
 
     Attributes:
         retry_after: When there is likely to be room, seconds from then.
-        wait: How long it would have waited, seconds; infinite where there is
-            no target.
-        work: How long the target usually takes for such a call, seconds.
+        expected_wait: How long it would have waited, seconds; infinite where
+            there is no target.
+        expected_duration: How long the target usually takes for such a call,
+            seconds.
         running: Calls at the target.
         waiting: Calls in the queue, this one included.
     """
 
     retry_after: float
-    wait: float
-    work: float
+    expected_wait: float
+    expected_duration: float
     running: int
     waiting: int
 
 
-class Waiting(msgspec.Struct, frozen=True, eq=False):
+class QueuedCall(msgspec.Struct, frozen=True, eq=False):
     """A call that waits for one of the target's slots.
 
     Attributes:
         rank: 0 goes first.
-        aim: Time within which an answer is of full use, seconds; usual work
-            is taken to be in proportion to it.
-        due: When an answer is no longer of full use, seconds.
+        latency_objective: Time within which an answer is of full use, seconds;
+            usual work is taken to be in proportion to it.
+        soft_deadline: When an answer is no longer of full use, seconds.
         deadline: When its answer is of no more use, seconds.
         start: Called when its turn comes.
         refuse: Called with the reason, if its turn can't come in time.
     """
 
     rank: int
-    aim: float
-    due: float
+    latency_objective: float
+    soft_deadline: float
     deadline: float
     start: Callable[[], None]
     refuse: Callable[[Refusal], None]
@@ -129,7 +130,7 @@
         return self._work * 0.5 ** ((now - self._at) / _USAGE_HALF_LIFE_S)
 
 
-class Admission:
+class AdmissionQueue:
     """The queue before one target."""
 
     def __init__(self) -> None:
@@ -139,7 +140,7 @@
         self._share = 1.0
         self._running = 0
         self._slowness = 0.0
-        self._queue: list[Waiting] = []
+        self._queue: list[QueuedCall] = []
 
     @property
     def running(self) -> int:
@@ -159,27 +160,27 @@
         return max(1, round(self._capacity * self._share))
 
     @property
-    def slowness(self) -> float:
+    def relative_latency(self) -> float:
         """Usual time of a call as a part of its aim; 0 where none ran."""
         return self._slowness
 
-    def work(self, aim: float) -> float:
+    def expected_duration(self, latency_objective: float) -> float:
         """Returns the usual time of a call with an aim, seconds."""
-        return (self._slowness or _FIRST_SLOWNESS) * aim
+        return (self._slowness or _FIRST_SLOWNESS) * latency_objective
 
     def resize(self, capacity: int, now: float) -> None:
         """Sets how many calls the target runs at once; 0 for no target."""
         self._capacity = capacity
         if not capacity:
-            self.flush()
-        self.pump(now)
+            self.refuse_all()
+        self.start_waiting(now)
 
-    def renew(self) -> None:
+    def reset_estimates(self) -> None:
         """Forgets how fast the target is: it is another one."""
         self._slowness = 0.0
         self._share = 1.0
 
-    def offer(self, waiting: Waiting, now: float) -> None:
+    def offer(self, waiting: QueuedCall, now: float) -> None:
         """Starts a call, queues it, or refuses it at once."""
         self._fortune(waiting, now).offered(now)
         if not self._queue and self._running < self.capacity:
@@ -190,31 +191,33 @@
         if not self._is_worth_it(waiting, wait, now):
             self._turn_down(waiting, self._advice(waiting, now), wait)
             return
-        self.pump(now)
+        self.start_waiting(now)
 
-    def finished(self, worked: float | None, aim: float, now: float) -> None:
+    def finish(
+        self, worked: float | None, latency_objective: float, now: float
+    ) -> None:
         """Frees a slot, and starts the call whose turn it is.
 
         Args:
             worked: Seconds that the target took, where it answered.
-            aim: The call's aim, seconds.
+            latency_objective: The call's aim, seconds.
             now: Monotonic time, seconds.
         """
         self._running -= 1
         if worked is not None:
-            seen = worked / aim
+            seen = worked / latency_objective
             if self._slowness:
                 self._slowness += (seen - self._slowness) * _LEARN
             else:
                 self._slowness = seen
             self._share = min(1.0, self._share + _REGAIN)
-        self.pump(now)
+        self.start_waiting(now)
 
-    def turned_away(self) -> None:
+    def reduce_capacity(self) -> None:
         """Notes that the target had no room for a call."""
         self._share = max(_LEAST_SHARE, self._share * _BACKOFF)
 
-    def pump(self, now: float) -> None:
+    def start_waiting(self, now: float) -> None:
         """Starts calls while there are slots, and refuses those too late."""
         while self._queue and self._running < self.capacity:
             waiting = min(self._queue, key=lambda w: self._order(w, now))
@@ -224,7 +227,7 @@
             self._queue.remove(waiting)
             self._start(waiting, now)
 
-    def sweep(self, now: float) -> None:
+    def refuse_late(self, now: float) -> None:
         """Refuses all calls whose turn is not likely to come in time."""
         # The work of all calls before one is summed up on the way.
         ahead = 0.0
@@ -232,81 +235,84 @@
         for waiting in sorted(self._queue, key=lambda w: self._order(w, now)):
             if waiting.rank not in left:
                 left[waiting.rank] = self._left_for(waiting.rank, now)
-            work = self.work(waiting.aim)
+            work = self.expected_duration(waiting.latency_objective)
             wait = (ahead + work) / left[waiting.rank]
             if self._is_worth_it(waiting, wait, now):
                 ahead += work
             else:
                 self._turn_down(waiting, self._advice(waiting, now), wait)
 
-    def withdraw(self, waiting: Waiting) -> bool:
+    def withdraw(self, waiting: QueuedCall) -> bool:
         """Takes a call out of the queue; returns whether it was there."""
         if waiting not in self._queue:
             return False
         self._queue.remove(waiting)
         return True
 
-    def flush(self) -> None:
+    def refuse_all(self) -> None:
         """Refuses all calls that wait."""
         while self._queue:
             self._turn_down(self._queue[0], _LEAST_RETRY_S, math.inf)
 
     def _turn_down(
-        self, waiting: Waiting, retry_after: float, wait: float
+        self, waiting: QueuedCall, retry_after: float, wait: float
     ) -> None:
         refusal = Refusal(
             retry_after,
             wait,
-            self.work(waiting.aim),
+            self.expected_duration(waiting.latency_objective),
             self._running,
             len(self._queue),
         )
         self._queue.remove(waiting)
         waiting.refuse(refusal)
 
-    def _start(self, waiting: Waiting, now: float) -> None:
+    def _start(self, waiting: QueuedCall, now: float) -> None:
         if not self._is_late(waiting, now):
             self._fortune(waiting, now).started()
         usage = self._usage.get(waiting.rank)
         if usage is None:
             usage = self._usage[waiting.rank] = _Usage(now)
-        usage.started(self.work(waiting.aim), now)
+        usage.started(self.expected_duration(waiting.latency_objective), now)
         self._running += 1
         waiting.start()
 
-    def _fortune(self, waiting: Waiting, now: float) -> _Fortune:
-        kind = (waiting.rank, waiting.aim)
+    def _fortune(self, waiting: QueuedCall, now: float) -> _Fortune:
+        kind = (waiting.rank, waiting.latency_objective)
         fortune = self._fortunes.get(kind)
         if fortune is None:
             fortune = self._fortunes[kind] = _Fortune(now)
         return fortune
 
-    def _is_late(self, waiting: Waiting, now: float) -> bool:
-        return now + self.work(waiting.aim) > waiting.due
+    def _is_late(self, waiting: QueuedCall, now: float) -> bool:
+        return (
+            now + self.expected_duration(waiting.latency_objective)
+            > waiting.soft_deadline
+        )
 
     def _order(
-        self, waiting: Waiting, now: float
+        self, waiting: QueuedCall, now: float
     ) -> tuple[int, bool, float, float]:
         late = self._is_late(waiting, now)
         share = self._fortune(waiting, now).share
-        due = waiting.deadline if late else waiting.due
+        due = waiting.deadline if late else waiting.soft_deadline
         return (waiting.rank, late, share, due)
 
-    def _wait_for(self, waiting: Waiting, now: float) -> float:
+    def _wait_for(self, waiting: QueuedCall, now: float) -> float:
         """Returns how long a call is likely to wait from now, seconds."""
         capacity = self.capacity
         if not capacity:
             return math.inf
         own = self._order(waiting, now)
         ahead = sum(
-            self.work(other.aim)
+            self.expected_duration(other.latency_objective)
             for other in self._queue
             if other is not waiting and self._order(other, now) < own
         )
         # A slot falls free once a part of the work has been done.
-        return (ahead + self.work(waiting.aim)) / self._left_for(
-            waiting.rank, now
-        )
+        return (
+            ahead + self.expected_duration(waiting.latency_objective)
+        ) / self._left_for(waiting.rank, now)
 
     def _left_for(self, rank: int, now: float) -> float:
         """Returns the slots that the ranks before one leave to it."""
@@ -319,23 +325,32 @@
         capacity = max(1, self.capacity)
         return max(capacity - before, capacity * _LEAST_LEFT)
 
-    def _advice(self, waiting: Waiting, now: float) -> float:
+    def _advice(self, waiting: QueuedCall, now: float) -> float:
         """Returns when there is likely to be room for such a call, seconds."""
         ahead = sum(
-            self.work(other.aim)
+            self.expected_duration(other.latency_objective)
             for other in self._queue
             if other is not waiting and other.rank <= waiting.rank
         )
         return max(_LEAST_RETRY_S, ahead / self._left_for(waiting.rank, now))
 
-    def _fits(self, waiting: Waiting, now: float) -> bool:
-        least = self.work(waiting.aim) * _LEAST_TIME
+    def _fits(self, waiting: QueuedCall, now: float) -> bool:
+        least = self.expected_duration(waiting.latency_objective) * _LEAST_TIME
         return now + least <= waiting.deadline
 
-    def _is_worth_it(self, waiting: Waiting, wait: float, now: float) -> bool:
+    def _is_worth_it(
+        self, waiting: QueuedCall, wait: float, now: float
+    ) -> bool:
         """Returns whether a call's turn is likely to come in time."""
-        left = waiting.deadline - now - self.work(waiting.aim) * _LEAST_TIME
-        if now + wait + self.work(waiting.aim) > waiting.due:
+        left = (
+            waiting.deadline
+            - now
+            - self.expected_duration(waiting.latency_objective) * _LEAST_TIME
+        )
+        if (
+            now + wait + self.expected_duration(waiting.latency_objective)
+            > waiting.soft_deadline
+        ):
             # Others that can be in time will come before it.
             left *= _LATE_SHARE
         return wait <= left
--- a/tamarackgap/traffic/balancer.py
+++ b/tamarackgap/traffic/balancer.py
@@ -13,7 +13,7 @@
 
 # A daemon that has told nothing for so long gets no new calls; where it tells
 # seldom, for so many of its intervals: one message may be lost.
-SILENCE_S = 1.2
+SILENCE_TIMEOUT_S = 1.2
 _SILENCE_INTERVALS = 2.4
 # What became of a target's calls is half forgotten in this time.
 _OUTCOME_HALF_LIFE_S = 2.0
@@ -36,11 +36,12 @@
         service: Its service.
         accepting: Whether it takes new calls.
         capacity: Calls that it runs at once.
-        busy: Calls there, running and waiting, when it was last told of.
-        sent: Calls sent there since, and not completed.
-        slowness: Usual time of a call, as a part of its route's aim; 0
+        reported_load: Calls there, running and waiting, when it was last told
+            of.
+        sent_since_report: Calls sent there since, and not completed.
+        relative_latency: Usual time of a call, as a part of its route's aim; 0
             where it has served none.
-        heard: When its daemon was last heard, seconds.
+        last_heard: When its daemon was last heard, seconds.
         data_centre: Where it stands.
         process: Id of the daemon's process.
         interval: How often its daemon tells of it, seconds.
@@ -53,10 +54,10 @@
     service: str = ""
     accepting: bool = False
     capacity: int = 0
-    busy: int = 0
-    sent: int = 0
-    slowness: float = 0.0
-    heard: float = float("-inf")
+    reported_load: int = 0
+    sent_since_report: int = 0
+    relative_latency: float = 0.0
+    last_heard: float = float("-inf")
     data_centre: str = ""
     process: str = ""
     interval: float = 0.0
@@ -64,7 +65,7 @@
     successes: float = 0.0
     weighed_at: float = 0.0
 
-    def failing(self, now: float) -> float:
+    def failure_ratio(self, now: float) -> float:
         """Returns how many calls failed of late for each that went well.
 
         A few failures among many calls must not leave a target unused.
@@ -72,12 +73,12 @@
         factor = self._factor(now)
         return self.failures * factor / (1.0 + self.successes * factor)
 
-    def failed(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Notes a failure."""
         self._weigh(now)
         self.failures += 1.0
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Notes a call that was answered well."""
         self._weigh(now)
         self.successes += 1.0
@@ -91,14 +92,14 @@
     def _factor(self, now: float) -> float:
         return 0.5 ** ((now - self.weighed_at) / _OUTCOME_HALF_LIFE_S)
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Returns whether calls may be sent there."""
         return self.accepting and self.capacity > 0 and not self.is_silent(now)
 
     def is_silent(self, now: float) -> bool:
         """Returns whether its daemon has told nothing for too long."""
-        limit = max(SILENCE_S, self.interval * _SILENCE_INTERVALS)
-        return now - self.heard >= limit
+        limit = max(SILENCE_TIMEOUT_S, self.interval * _SILENCE_INTERVALS)
+        return now - self.last_heard >= limit
 
     def estimate(self, now: float, usual: float) -> float:
         """Returns the likely time to an answer, as a part of the aim.
@@ -107,13 +108,13 @@
             now: Monotonic time, seconds.
             usual: Slowness to assume where nothing is known.
         """
-        load = self.busy + self.sent
+        load = self.reported_load + self.sent_since_report
         over = max(0, load + 1 - self.capacity)
         turns = 1.0 + over / max(1, self.capacity)
         # Nearly full targets slow down, and estimates are rough.
         turns += 0.2 * load / max(1, self.capacity)
-        turns += _FAILURE_COST * self.failing(now)
-        return (self.slowness or usual) * turns
+        turns += _FAILURE_COST * self.failure_ratio(now)
+        return (self.relative_latency or usual) * turns
 
 
 def choose(
@@ -121,7 +122,7 @@
     tried: frozenset[str],
     now: float,
     rng: random.Random,
-    near: str = "",
+    data_centre: str = "",
 ) -> Candidate | None:
     """Returns the target to send a call to, or None.
 
@@ -130,26 +131,32 @@
         tried: Incarnations that have been tried; they come last.
         now: Monotonic time, seconds.
         rng: Decides between equals, so that entries do not move in step.
-        near: The entry's data centre. Of those that are as good as the best,
-            one there is taken: what crosses data centres has a price.
+        data_centre: The entry's data centre. Of those that are as good as the
+            best, one there is taken: what crosses data centres has a price.
     """
     usable = [
         candidate
         for candidate in candidates
-        if candidate.usable(now) and candidate.incarnation not in tried
+        if candidate.is_usable(now) and candidate.incarnation not in tried
     ]
     if not usable:
         return None
-    known = [candidate.slowness for candidate in usable if candidate.slowness]
+    known = [
+        candidate.relative_latency
+        for candidate in usable
+        if candidate.relative_latency
+    ]
     usual = sum(known) / len(known) if known else _FIRST_SLOWNESS
     if len(usable) > _COMPARED:
-        usable = _draw_two(usable, now, usual, rng, near)
+        usable = _draw_two(usable, now, usual, rng, data_centre)
     estimates = [
         (candidate.estimate(now, usual), candidate) for candidate in usable
     ]
     limit = min(estimate for estimate, _ in estimates) * (1 + _CLOSE)
     best = [candidate for estimate, candidate in estimates if estimate <= limit]
-    close = [candidate for candidate in best if candidate.data_centre == near]
+    close = [
+        candidate for candidate in best if candidate.data_centre == data_centre
+    ]
     return rng.choice(close or best)
 
 
@@ -158,7 +165,7 @@
     now: float,
     usual: float,
     rng: random.Random,
-    near: str,
+    data_centre: str,
 ) -> list[Candidate]:
     """Returns two targets, drawn by how many calls each can serve well.
 
@@ -166,12 +173,12 @@
     """
     weights = [
         candidate.capacity
-        / (candidate.slowness or usual)
-        / (1.0 + _FAILURE_COST * candidate.failing(now))
+        / (candidate.relative_latency or usual)
+        / (1.0 + _FAILURE_COST * candidate.failure_ratio(now))
         for candidate in usable
     ]
     here = [
-        weight if candidate.data_centre == near else 0.0
+        weight if candidate.data_centre == data_centre else 0.0
         for candidate, weight in zip(usable, weights, strict=True)
     ]
     places = range(len(usable))
--- a/tamarackgap/traffic/crashes.py
+++ b/tamarackgap/traffic/crashes.py
@@ -17,7 +17,7 @@
 # crashed, one after the other, is not sent again.
 _STRIKES = 2
 # How long it is refused then; it gets one more chance after that, seconds.
-BARRED_S = 30.0
+BAR_TIME_S = 30.0
 # How long a crash is remembered, seconds.
 _KEPT_S = 120.0
 _MOST_CONTENTS = 1000
@@ -40,7 +40,7 @@
     )
 
 
-class Crashes:
+class CrashHistory:
     """Contents that were at targets when these crashed."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def note(self, content: str, begun: float, ended: float) -> bool:
+    def record(self, content: str, begun: float, ended: float) -> bool:
         """Takes in that a target crashed while it ran a content.
 
         Targets that crash at the same moment crash for another reason: a
@@ -93,4 +93,4 @@
         entry = self._entries.get(content)
         if entry is None or entry.strikes < _STRIKES:
             return 0.0
-        return max(0.0, entry.last + BARRED_S - now)
+        return max(0.0, entry.last + BAR_TIME_S - now)
--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -48,7 +48,7 @@
 Done = Callable[[calls.Completion], None]
 
 
-class Flight(msgspec.Struct, eq=False):
+class PendingRequest(msgspec.Struct, eq=False):
     """A caller's request under way.
 
     Attributes:
@@ -88,42 +88,44 @@
     def __init__(
         self,
         core: ownership.Ownership,
-        beside: runner.Runner,
+        local_runner: runner.Runner,
         links: peers.Peers,
         timers: scheduler.Scheduler,
         budgets: retries.ServiceBudgets,
         rng: random.Random,
-        crashed: crashes.Crashes,
+        crash_history: crashes.CrashHistory,
         data_centre: str,
     ) -> None:
         """Creates a dispatcher without requests.
 
         Args:
             core: Knows the keys' owners.
-            beside: Runs calls at this daemon's own target.
+            local_runner: Runs calls at this daemon's own target.
             links: Links to the other daemons.
             timers: The loop's scheduler.
             budgets: Bound the legs that are sent again.
             rng: Decides between equals.
-            crashed: Contents that were at targets when these crashed.
+            crash_history: Contents that were at targets when these crashed.
             data_centre: Where this daemon stands.
         """
         self._data_centre = data_centre
         self._core = core
-        self._runner = beside
+        self._runner = local_runner
         self._peers = links
         self._timers = timers
         self._budgets = budgets
         self._rng = rng
-        self._crashes = crashed
-        self._spread = routetable.Spread()
+        self._crashes = crash_history
+        self._spread = routetable.WeightedRoundRobin()
         self._keyed: frozenset[str] = frozenset()
-        self._targets = targets.Targets(core, timers)
-        self._flights: dict[int, Flight] = {}
+        self._targets = targets.TargetDirectory(core, timers)
+        self._flights: dict[int, PendingRequest] = {}
         self._legs = itertools.count(1)
         self._open = 0
         # Observes each finished flight, for metrics.
-        self.observe: Callable[[Flight, calls.Completion], None] = _ignore
+        self.observe: Callable[[PendingRequest, calls.Completion], None] = (
+            _ignore
+        )
 
     @property
     def in_flight(self) -> int:
@@ -144,19 +146,21 @@
         """Returns the `ip:port` of all daemons that calls may be sent to."""
         return self._targets.addresses()
 
-    def heard(self, sender: str, address: str, status: calls.Status) -> None:
+    def update_status(
+        self, sender: str, address: str, status: calls.Status
+    ) -> None:
         """Takes in what a daemon tells of itself."""
-        for gone in self._targets.heard(sender, address, status):
+        for gone in self._targets.update_status(sender, address, status):
             self._drop(gone)
 
-    def begin(
+    def submit(
         self,
         call: calls.Call,
         route: routetable.Route,
         begun: float,
         timeout: float,
         done: Done,
-    ) -> Flight:
+    ) -> PendingRequest:
         """Serves a request.
 
         Args:
@@ -169,7 +173,7 @@
         Returns:
             The flight, for `cancel`.
         """
-        flight = Flight(
+        flight = PendingRequest(
             call,
             route,
             self._spread.pick(route),
@@ -186,7 +190,7 @@
         self._try(flight)
         return flight
 
-    def cancel(self, flight: Flight) -> None:
+    def cancel(self, flight: PendingRequest) -> None:
         """Gives a flight up: its caller went away."""
         if flight.done is None:
             return
@@ -197,9 +201,11 @@
             self._final(flight, types.Reason.NO_ANSWER, bool(flight.leg)),
         )
 
-    def completed(self, sender: str, completion: calls.Completion) -> None:
+    def handle_completion(
+        self, sender: str, completion: calls.Completion
+    ) -> None:
         """Takes in what became of a leg; one that comes late is dropped."""
-        self._targets.completed(sender, completion)
+        self._targets.record_load(sender, completion)
         flight = self._flights.pop(completion.leg, None)
         if flight is None:
             logs.event("late_completion_dropped", leg=completion.leg)
@@ -210,9 +216,9 @@
         else:
             self._refused(flight, completion)
 
-    def sweep(self) -> None:
+    def fail_silent_legs(self) -> None:
         """Gives up legs at daemons that are silent."""
-        for name in self._targets.forgotten():
+        for name in self._targets.expired():
             self._drop(name)
         for leg, flight in list(self._flights.items()):
             candidate = flight.candidate
@@ -225,7 +231,7 @@
 
     # Legs.
 
-    def _try(self, flight: Flight) -> None:
+    def _try(self, flight: PendingRequest) -> None:
         if flight.done is None:
             return
         now = self._timers.now
@@ -241,10 +247,10 @@
             if refusal is not None:
                 self._await_owner(flight, refusal)
                 return
-            candidate = self._targets.owner(owner)
+            candidate = self._targets.for_owner(owner)
         else:
             candidate = balancer.choose(
-                self._targets.of(flight.service),
+                self._targets.of_service(flight.service),
                 flight.tried,
                 now,
                 self._rng,
@@ -258,7 +264,7 @@
                 return
         self._send(flight, candidate, now)
 
-    def _owner(self, flight: Flight) -> tuple[str, types.Reason | None]:
+    def _owner(self, flight: PendingRequest) -> tuple[str, types.Reason | None]:
         position = flight.call.position
         if position is None:
             return types.NOBODY, types.Reason.BAD_REQUEST
@@ -272,7 +278,7 @@
         return route.owner, None
 
     def _send(
-        self, flight: Flight, candidate: balancer.Candidate, now: float
+        self, flight: PendingRequest, candidate: balancer.Candidate, now: float
     ) -> None:
         leg = next(self._legs)
         route = flight.route
@@ -284,26 +290,26 @@
             remaining=flight.deadline - now,
             rank=route.rank,
             idempotent=route.idempotent,
-            aim=route.aim,
-            due=flight.begun + route.aim - now,
+            latency_objective=route.latency_objective,
+            objective_remaining=flight.begun + route.latency_objective - now,
         )
         flight.leg = leg
         flight.candidate = candidate
         flight.tried |= {candidate.incarnation}
         flight.runs += 1
-        candidate.sent += 1
+        candidate.sent_since_report += 1
         self._flights[leg] = flight
         own = self._core.incarnation
         if candidate.incarnation == own:
-            self._runner.take(
-                dispatch, own, functools.partial(self.completed, own)
+            self._runner.submit(
+                dispatch, own, functools.partial(self.handle_completion, own)
             )
             return
         address = self._targets.address(candidate.incarnation)
         if not address or not self._peers.send(own, address, dispatch):
             self._flights.pop(leg, None)
             flight.leg = 0
-            candidate.failed(now)
+            candidate.record_failure(now)
             self._refused(
                 flight,
                 calls.Completion(
@@ -313,7 +319,9 @@
                 ),
             )
 
-    def _answered(self, flight: Flight, completion: calls.Completion) -> None:
+    def _answered(
+        self, flight: PendingRequest, completion: calls.Completion
+    ) -> None:
         failed = completion.status >= _SERVER_ERROR
         self._judge(flight, failed)
         if failed and flight.route.idempotent and self._may_rerun(flight):
@@ -323,17 +331,19 @@
             return
         self._finish(flight, completion)
 
-    def _judge(self, flight: Flight, failed: bool) -> None:
+    def _judge(self, flight: PendingRequest, failed: bool) -> None:
         """Notes how well the target of the last leg does."""
         candidate = flight.candidate
         if candidate is None:
             return
         if failed:
-            candidate.failed(self._timers.now)
+            candidate.record_failure(self._timers.now)
         else:
-            candidate.succeeded(self._timers.now)
+            candidate.record_success(self._timers.now)
 
-    def _refused(self, flight: Flight, completion: calls.Completion) -> None:
+    def _refused(
+        self, flight: PendingRequest, completion: calls.Completion
+    ) -> None:
         reason = completion.reason
         ran = completion.verdict is types.Verdict.MAY_HAVE_RUN
         flight.may_have_run |= ran
@@ -361,32 +371,33 @@
             self._final(flight, reason, False, completion.retry_after),
         )
 
-    def _may_rerun(self, flight: Flight) -> bool:
+    def _may_rerun(self, flight: PendingRequest) -> bool:
         """Returns whether a call that may have run is sent once more."""
         now = self._timers.now
         return (
-            flight.runs < flight.route.attempts
-            and flight.deadline - now > flight.route.aim * _LEAST_AIM
+            flight.runs < flight.route.max_attempts
+            and flight.deadline - now
+            > flight.route.latency_objective * _LEAST_AIM
             and self._targets.has_room(flight.service)
             and self._budgets.of(flight.service).withdraw()
         )
 
     def _may_go_elsewhere(
-        self, flight: Flight, reason: types.Reason | None
+        self, flight: PendingRequest, reason: types.Reason | None
     ) -> bool:
         """Returns whether a call that did not run is tried at another."""
-        if len(flight.tried) >= max(2, flight.route.attempts):
+        if len(flight.tried) >= max(2, flight.route.max_attempts):
             return False
         if reason in _ASKED:
             # It counts as a run: the target was asked.
-            return flight.runs < flight.route.attempts and (
+            return flight.runs < flight.route.max_attempts and (
                 self._budgets.of(flight.service).withdraw()
             )
         flight.runs -= 1
         return True
 
     def _may_ask_again(
-        self, flight: Flight, reason: types.Reason | None
+        self, flight: PendingRequest, reason: types.Reason | None
     ) -> bool:
         """Returns whether a key's one target, which refused, is asked again.
 
@@ -394,14 +405,16 @@
         """
         return (
             reason is types.Reason.TARGET_REFUSED
-            and flight.runs < flight.route.attempts
+            and flight.runs < flight.route.max_attempts
             and self._budgets.of(flight.service).withdraw()
         )
 
-    def _await_owner(self, flight: Flight, reason: types.Reason) -> None:
+    def _await_owner(
+        self, flight: PendingRequest, reason: types.Reason
+    ) -> None:
         """Waits a moment for a key that is between two owners."""
         now = self._timers.now
-        until = flight.begun + flight.route.aim * _MOVE_SHARE
+        until = flight.begun + flight.route.latency_objective * _MOVE_SHARE
         waits = reason in (
             types.Reason.SLOT_MOVING,
             types.Reason.WRONG_OWNER,
@@ -416,7 +429,7 @@
             flight, self._final(flight, reason, False, _NO_OWNER_RETRY_S)
         )
 
-    def _lose(self, leg: int, flight: Flight) -> None:
+    def _lose(self, leg: int, flight: PendingRequest) -> None:
         self._flights.pop(leg, None)
         flight.leg = 0
         self._refused(
@@ -428,13 +441,13 @@
 
     def _drop(self, incarnation: str) -> None:
         """Forgets a daemon that is gone; its answers are not due."""
-        self._targets.drop(incarnation)
+        self._targets.remove(incarnation)
         for leg, flight in list(self._flights.items()):
             candidate = flight.candidate
             if candidate and candidate.incarnation == incarnation:
                 self._lose(leg, flight)
 
-    def _withdraw(self, flight: Flight) -> None:
+    def _withdraw(self, flight: PendingRequest) -> None:
         if not flight.leg or flight.candidate is None:
             return
         owner = flight.candidate.incarnation
@@ -448,7 +461,7 @@
 
     # Ends.
 
-    def _deadline(self, flight: Flight) -> None:
+    def _deadline(self, flight: PendingRequest) -> None:
         if flight.done is None:
             return
         self._withdraw(flight)
@@ -459,7 +472,7 @@
 
     def _final(
         self,
-        flight: Flight,
+        flight: PendingRequest,
         reason: types.Reason | None,
         ran: bool,
         retry_after: float = 0.0,
@@ -478,7 +491,9 @@
             retry_after=0.0 if ran else retry_after or _RETRY_S,
         )
 
-    def _finish(self, flight: Flight, completion: calls.Completion) -> None:
+    def _finish(
+        self, flight: PendingRequest, completion: calls.Completion
+    ) -> None:
         done = flight.done
         if done is None:
             return
@@ -491,7 +506,9 @@
         self.observe(flight, completion)
         done(completion)
 
-    def _log(self, flight: Flight, completion: calls.Completion) -> None:
+    def _log(
+        self, flight: PendingRequest, completion: calls.Completion
+    ) -> None:
         now = self._timers.now
         candidate = flight.candidate
         reason = completion.reason
@@ -505,9 +522,11 @@
             position=flight.call.position,
             owner=candidate.incarnation if candidate else "",
             revision=self._core.view.cursor,
-            load=candidate.busy + candidate.sent if candidate else 0,
+            load=candidate.reported_load + candidate.sent_since_report
+            if candidate
+            else 0,
             load_age_ms=(
-                round((now - candidate.heard) * 1000) if candidate else 0
+                round((now - candidate.last_heard) * 1000) if candidate else 0
             ),
             runs=flight.runs,
             verdict=completion.verdict.value,
@@ -517,7 +536,7 @@
         )
 
 
-def _ignore(flight: Flight, completion: calls.Completion) -> None:
+def _ignore(flight: PendingRequest, completion: calls.Completion) -> None:
     del flight, completion
 
 
--- a/tamarackgap/traffic/beside.py
+++ b/tamarackgap/traffic/localtarget.py
@@ -43,13 +43,13 @@
     final: bool = False
 
 
-class Change(enum.Enum):
+class Transition(enum.Enum):
     """What an announcement or silence means for the daemon."""
 
     NONE = "none"
     # Another life of the target: it holds and knows nothing of before.
-    NEW_LIFE = "new-life"
-    BACK = "back"
+    NEW_PROCESS = "new-life"
+    RETURNED = "back"
     LEAVING = "leaving"
     # Nobody listens at its address: it has ended.
     LOST = "lost"
@@ -57,7 +57,7 @@
     SILENT = "silent"
 
 
-class Beside:
+class LocalTarget:
     """The target beside this daemon, as far as is known."""
 
     def __init__(self, service: str, interval: float, now: float) -> None:
@@ -84,42 +84,44 @@
         """Calls that it runs at once."""
         return self._latest.capacity
 
-    def announced(self, said: Announcement, now: float) -> Change:
+    def handle_announcement(self, said: Announcement, now: float) -> Transition:
         """Takes an announcement in, unless a later one has been heard."""
         latest = self._latest
         if said.final:
             return self._left(said)
         if said.service != self._service or said.capacity < 1:
-            return Change.NONE
+            return Transition.NONE
         same = (said.instance, said.born_ms) == (
             latest.instance,
             latest.born_ms,
         )
         if same and said.sequence <= latest.sequence:
-            return Change.NONE
+            return Transition.NONE
         if not same and said.born_ms < latest.born_ms:
-            return Change.NONE
+            return Transition.NONE
         self._latest = said
         self._heard = now
         before = self.phase
         if said.leaving:
             self.phase = Phase.LEAVING
-            return Change.NEW_LIFE if not same else self._if_new(before)
+            return Transition.NEW_PROCESS if not same else self._if_new(before)
         if same and before is Phase.LEAVING:
-            return Change.NONE
+            return Transition.NONE
         self.phase = Phase.SERVING
         if not same:
-            return Change.NEW_LIFE
-        return Change.BACK if before is Phase.ABSENT else Change.NONE
+            return Transition.NEW_PROCESS
+        return (
+            Transition.RETURNED if before is Phase.ABSENT else Transition.NONE
+        )
 
-    def lost(self) -> Change:
+    def handle_connection_refused(self) -> Transition:
         """Notes that the target refuses connections."""
         if self.phase is Phase.ABSENT:
-            return Change.NONE
+            return Transition.NONE
         self.phase = Phase.ABSENT
-        return Change.LOST
+        return Transition.LOST
 
-    def check(self, answered: float, now: float) -> Change:
+    def check_silence(self, answered: float, now: float) -> Transition:
         """Returns SILENT once the target has been silent for too long.
 
         Args:
@@ -127,19 +129,21 @@
             now: Monotonic time, seconds.
         """
         if self.phase is Phase.ABSENT or now - self._heard <= self._silence:
-            return Change.NONE
+            return Transition.NONE
         if now - answered <= _ANSWERED_S:
-            return Change.NONE
+            return Transition.NONE
         self.phase = Phase.ABSENT
-        return Change.SILENT
+        return Transition.SILENT
 
-    def _if_new(self, before: Phase) -> Change:
-        return Change.NONE if before is Phase.LEAVING else Change.LEAVING
+    def _if_new(self, before: Phase) -> Transition:
+        return (
+            Transition.NONE if before is Phase.LEAVING else Transition.LEAVING
+        )
 
-    def _left(self, said: Announcement) -> Change:
+    def _left(self, said: Announcement) -> Transition:
         if said.instance != self._latest.instance:
-            return Change.NONE
+            return Transition.NONE
         if self.phase is not Phase.SERVING:
-            return Change.NONE
+            return Transition.NONE
         self.phase = Phase.LEAVING
-        return Change.LEAVING
+        return Transition.LEAVING
--- a/tamarackgap/traffic/routetable.py
+++ b/tamarackgap/traffic/routetable.py
@@ -23,8 +23,8 @@
         shares: Services, with the parts of the requests that they get.
         idempotent: Whether a request may run more than once.
         timeout: Longest time to an answer, seconds.
-        aim: Time within which an answer is of full use, seconds.
-        attempts: Most targets that one request may be handed to.
+        latency_objective: Time within which an answer is of full use, seconds.
+        max_attempts: Most targets that one request may be handed to.
         rank: 0 is served first.
     """
 
@@ -34,8 +34,8 @@
     shares: tuple[Share, ...]
     idempotent: bool
     timeout: float
-    aim: float
-    attempts: int
+    latency_objective: float
+    max_attempts: int
     rank: int
 
 
@@ -45,12 +45,12 @@
     Attributes:
         name: Its name.
         keyed: Whether each key has one owner among its targets.
-        connections: Most connections that a target accepts.
+        max_connections: Most connections that a target accepts.
     """
 
     name: types.ServiceName
     keyed: bool
-    connections: int
+    max_connections: int
 
 
 class RouteTable(msgspec.Struct, frozen=True):
@@ -71,7 +71,7 @@
     source: bytes = b""
 
 
-class Index:
+class RouteIndex:
     """Finds routes by host and longest path prefix."""
 
     def __init__(self, table: RouteTable) -> None:
@@ -101,7 +101,7 @@
         return None
 
 
-class Spread:
+class WeightedRoundRobin:
     """Spreads a route's requests over its shares, evenly at every length."""
 
     def __init__(self) -> None:
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -12,7 +12,7 @@
 from tamarackgap.ownership import ownership
 from tamarackgap.peers import calls
 from tamarackgap.placement import heat, slots
-from tamarackgap.traffic import admission, crashes, keyholds
+from tamarackgap.traffic import admission, crashes, slotgrants
 
 # A target ends a call at its deadline; its answer takes a little longer.
 _GRACE_S = 0.02
@@ -66,7 +66,7 @@
     deadline: float
     reply: Reply | None
     begun: float = 0.0
-    waiting: admission.Waiting | None = None
+    waiting: admission.QueuedCall | None = None
     exchange: httplink.Exchange | None = None
 
 
@@ -77,12 +77,12 @@
         self,
         service: types.ServiceName,
         core: ownership.Ownership,
-        holds: keyholds.KeyHolds,
+        holds: slotgrants.SlotGrants,
         link: httplink.Link,
         codec: Codec,
         timers: scheduler.Scheduler,
-        lost: Callable[[], None],
-        crashed: crashes.Crashes,
+        on_connection_refused: Callable[[], None],
+        crash_history: crashes.CrashHistory,
     ) -> None:
         """Creates a runner without a target.
 
@@ -93,8 +93,8 @@
             link: Connections to the target.
             codec: Spells calls and answers.
             timers: The loop's scheduler.
-            lost: Called when the target refuses connections.
-            crashed: Contents that were at targets when these crashed.
+            on_connection_refused: Called when the target refuses connections.
+            crash_history: Contents that were at targets when these crashed.
         """
         self._service = service
         self._core = core
@@ -102,13 +102,13 @@
         self._link = link
         self._codec = codec
         self._timers = timers
-        self._lost = lost
-        self._crashes = crashed
+        self._on_connection_refused = on_connection_refused
+        self._crashes = crash_history
         # Runs that ended with their connections: content, begin and end.
         self._broken: list[tuple[str, float, float]] = []
         # Called with a content that was answered after a crash.
-        self.cleared: Callable[[str], None] = _forget
-        self._admission = admission.Admission()
+        self.on_content_cleared: Callable[[str], None] = _forget
+        self._admission = admission.AdmissionQueue()
         self._legs: dict[tuple[str, int], Leg] = {}
         self._instance = ""
         self._leave_at = 0.0
@@ -120,12 +120,12 @@
         # the seconds that it took.
         self.observe: Callable[[types.Verdict, float], None] = _ignore
         # When the target last answered a call, seconds.
-        self.answered_at = float("-inf")
+        self.last_answered_at = float("-inf")
         # Part of the target's capacity that was in use lately.
         self._utilisation = 0.0
 
     @property
-    def queue(self) -> admission.Admission:
+    def queue(self) -> admission.AdmissionQueue:
         """The queue before the target."""
         return self._admission
 
@@ -147,7 +147,7 @@
             capacity: Calls that it runs at once.
         """
         if instance != self._instance:
-            self._admission.renew()
+            self._admission.reset_estimates()
         self._instance = instance
         self._draining = False
         self._admission.resize(capacity, self._timers.now)
@@ -164,7 +164,7 @@
         self._admission.resize(0, self._timers.now)
         self._link.close()
 
-    def take_crashed(self) -> list[tuple[str, float, float]]:
+    def pop_crashed_runs(self) -> list[tuple[str, float, float]]:
         """Returns the runs that a crash of the target has just ended.
 
         Returns:
@@ -172,7 +172,7 @@
         """
         since = max(
             self._timers.now - _CRASH_SEEN_S,
-            self.answered_at - _ANSWER_SLACK_S,
+            self.last_answered_at - _ANSWER_SLACK_S,
         )
         broken = [run for run in self._broken if run[2] >= since]
         self._broken = []
@@ -185,17 +185,19 @@
         """Calls here against what the target runs at once, of late."""
         return self._utilisation
 
-    def sweep(self) -> None:
+    def refuse_late(self) -> None:
         """Refuses calls that can no longer start in time."""
         now = self._timers.now
         used = len(self._legs) / max(1, self._admission.capacity)
         self._utilisation += (used - self._utilisation) * _LEARN
         if self._draining and now >= self._leave_at:
-            self._admission.flush()
+            self._admission.refuse_all()
         else:
-            self._admission.sweep(now)
+            self._admission.refuse_late(now)
 
-    def take(self, dispatch: calls.Dispatch, sender: str, reply: Reply) -> None:
+    def submit(
+        self, dispatch: calls.Dispatch, sender: str, reply: Reply
+    ) -> None:
         """Deals with a call; `reply` is called once, perhaps at once."""
         now = self._timers.now
         leg = Leg(dispatch, sender, now + dispatch.remaining, reply)
@@ -206,12 +208,15 @@
         self._legs[sender, dispatch.leg] = leg
         if self.keyed:
             # Calls that find no room are load as well.
-            amount = self._admission.work(dispatch.aim) / _USUAL_WORK_S
+            amount = (
+                self._admission.expected_duration(dispatch.latency_objective)
+                / _USUAL_WORK_S
+            )
             self._meter.count(self._slot(dispatch), now, amount)
-        leg.waiting = admission.Waiting(
+        leg.waiting = admission.QueuedCall(
             dispatch.rank,
-            dispatch.aim,
-            now + dispatch.due,
+            dispatch.latency_objective,
+            now + dispatch.objective_remaining,
             leg.deadline,
             functools.partial(self._start, leg),
             functools.partial(self._turned_down, leg),
@@ -256,7 +261,7 @@
             return types.Reason.NO_OWNER
         slot = self._slot(dispatch)
         refusal = self._core.refusal(slot, now)
-        if refusal is None and not self._holds.held(slot, now):
+        if refusal is None and not self._holds.is_held(slot, now):
             return types.Reason.SLOT_MOVING
         return refusal
 
@@ -268,7 +273,7 @@
         founded = self._core.view.founded(self._service)
         return slots.slot_at(dispatch.call.position, founded.slots)
 
-    def rates(self) -> dict[int, float]:
+    def slot_loads(self) -> dict[int, float]:
         """Returns the load of each slot owned here, in usual calls a second.
 
         A call counts by the time that this target takes for one, so that
@@ -287,7 +292,7 @@
             refusal = types.Reason.DEADLINE_PASSED
         if refusal is not None:
             self._refuse(leg, refusal)
-            self._admission.finished(None, dispatch.aim, now)
+            self._admission.finish(None, dispatch.latency_objective, now)
             return
         leg.begun = now
         request = dispatch.call.request
@@ -314,16 +319,16 @@
         worked: float | None = None
         match outcome:
             case result.Success(httplink.Answer() as answer):
-                self.answered_at = now
+                self.last_answered_at = now
                 completion = self._codec.judge(leg.dispatch.leg, answer)
                 if completion.verdict is types.Verdict.ANSWERED:
                     worked = now - leg.begun
                     if self._crashes:
                         self._clear(leg)
                 elif completion.reason is types.Reason.TARGET_FULL:
-                    self._admission.turned_away()
+                    self._admission.reduce_capacity()
                 elif completion.reason is types.Reason.TARGET_MISDIRECTED:
-                    self._holds.doubt()
+                    self._holds.renew_soon()
             case result.Failure(exchanges.Failure() as failure):
                 completion = self._failed(leg, failure)
             case _:
@@ -331,13 +336,13 @@
         self._log(leg, completion, now)
         self.observe(completion.verdict, now - leg.begun)
         self._finish(leg, completion)
-        self._admission.finished(worked, leg.dispatch.aim, now)
+        self._admission.finish(worked, leg.dispatch.latency_objective, now)
 
     def _failed(self, leg: Leg, failure: exchanges.Failure) -> calls.Completion:
         if failure.cause is exchanges.Cause.CLOSED and failure.sent:
             self._note_broken(leg)
         if failure.cause is exchanges.Cause.REFUSED:
-            self._lost()
+            self._on_connection_refused()
         if not failure.sent:
             late = failure.cause is exchanges.Cause.CANCELLED
             return calls.Completion(
@@ -362,7 +367,7 @@
     def _clear(self, leg: Leg) -> None:
         content = _content(leg.dispatch)
         if self._crashes.clear(content):
-            self.cleared(content)
+            self.on_content_cleared(content)
 
     def _turned_down(self, leg: Leg, refusal: admission.Refusal) -> None:
         self._refuse(leg, types.Reason.QUEUE_FULL, refusal)
@@ -417,9 +422,9 @@
         }
         if refusal is not None:
             seen = {"running": refusal.running, "waiting": refusal.waiting}
-            seen["work_ms"] = round(refusal.work * 1000)
-            if math.isfinite(refusal.wait):
-                seen["wait_ms"] = round(refusal.wait * 1000)
+            seen["work_ms"] = round(refusal.expected_duration * 1000)
+            if math.isfinite(refusal.expected_wait):
+                seen["wait_ms"] = round(refusal.expected_wait * 1000)
         logs.request_event(
             "call",
             completion.verdict is not types.Verdict.ANSWERED,
--- a/tamarackgap/traffic/keyholds.py
+++ b/tamarackgap/traffic/slotgrants.py
@@ -41,7 +41,7 @@
         first: First position of its keys.
         last: Last position, included.
         fence: The fence that the target is told.
-        hold: For how long from its arrival, seconds.
+        hold_s: For how long from its arrival, seconds.
         handover: What the last holder said when it released them, or "".
         until: When the target must hold them no more, seconds on this clock.
     """
@@ -49,7 +49,7 @@
     first: int
     last: int
     fence: int
-    hold: float
+    hold_s: float
     handover: str
     until: float
 
@@ -62,27 +62,27 @@
     fence: int
 
 
-class Ordered(msgspec.Struct, frozen=True):
+class OrderResult(msgspec.Struct, frozen=True):
     """What became of an order.
 
     Attributes:
-        carried_out: Whether the target said that it carried it out.
+        acknowledged: Whether the target said that it carried it out.
         superseded: Whether it has seen a higher fence.
         handover: What the next holder may be told, or "".
     """
 
-    carried_out: bool
+    acknowledged: bool
     superseded: bool = False
     handover: str = ""
 
 
 # Sends an order to the target, with the longest wait for its answer.
-Order = Callable[
-    [Grant | Release, float, Callable[[Ordered], None]],
+SendOrder = Callable[
+    [Grant | Release, float, Callable[[OrderResult], None]],
     None,
 ]
 # Called with the handover of each run that the target has released.
-Released = Callable[[dict[slots.Run, str]], None]
+OnReleased = Callable[[dict[slots.Run, str]], None]
 
 
 class _Hold(msgspec.Struct):
@@ -104,16 +104,16 @@
         return self.run.fence * FENCE_STEP + self.unanswered
 
 
-class KeyHolds:
+class SlotGrants:
     """What the target holds, as far as it has said so."""
 
     def __init__(
         self,
         core: ownership.Ownership,
-        order: Order,
+        order: SendOrder,
         timers: scheduler.Scheduler,
-        lease: float,
-        longest: float,
+        lease_s: float,
+        longest_hold_s: float,
     ) -> None:
         """Creates a keeper of nothing.
 
@@ -121,14 +121,15 @@
             core: Holds the lease and the slots.
             order: Sends orders to the target.
             timers: The loop's scheduler.
-            lease: Length of a lease, seconds.
-            longest: Longest time for which the target takes keys, seconds.
+            lease_s: Length of a lease, seconds.
+            longest_hold_s: Longest time for which the target takes keys,
+                seconds.
         """
         self._core = core
-        self._longest = longest
+        self._longest_hold_s = longest_hold_s
         self._order = order
         self._timers = timers
-        self._step = lease * _STEP_SHARE
+        self._step = lease_s * _STEP_SHARE
         self._holds: dict[slots.Run, _Hold] = {}
         self._by_slot: dict[int, _Hold] = {}
         # Each slot's fence, and the grants under it without an answer.
@@ -143,11 +144,11 @@
         self._unreleased = 0
 
     @property
-    def runs(self) -> int:
+    def range_count(self) -> int:
         """Number of runs of slots."""
         return len(self._holds)
 
-    def held(self, slot: int, now: float) -> bool:
+    def is_held(self, slot: int, now: float) -> bool:
         """Returns whether the target holds a slot under its fence."""
         hold = self._by_slot.get(slot)
         return (
@@ -156,7 +157,7 @@
             and slot not in self._releasing
         )
 
-    def confirmed(self, slot: int) -> bool:
+    def is_confirmed(self, slot: int) -> bool:
         """Returns whether the target has answered all that it was granted.
 
         A grant without an answer may be carried out much later. If the slot
@@ -166,7 +167,7 @@
         hold = self._by_slot.get(slot)
         return hold is not None and hold.confirmed and not hold.asking
 
-    def forget(self) -> None:
+    def clear(self) -> None:
         """Notes that the target holds nothing: it has started anew."""
         self._holds.clear()
         self._by_slot.clear()
@@ -199,7 +200,7 @@
             hold.held_until = float("-inf")
         return max(0.0, max(doubtful, default=0.0) - self._timers.now)
 
-    def give_up(self, done: Callable[[], None]) -> None:
+    def release_all(self, done: Callable[[], None]) -> None:
         """Takes all slots back from the target, and grants none any more.
 
         Args:
@@ -209,13 +210,13 @@
         owned = frozenset(self._core.owned)
         self.release(owned, lambda handovers: done())
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Grants again: the lease under which keys were given up is over."""
         self._stopped = False
         self._releasing = frozenset()
-        self.forget()
+        self.clear()
 
-    def doubt(self) -> None:
+    def renew_soon(self) -> None:
         """Renews soon: the target refused work that it should hold."""
         for hold in self._holds.values():
             hold.asked_until = float("-inf")
@@ -227,7 +228,7 @@
         if self._version != self._core.slots_version:
             self._follow()
         now = self._timers.now
-        until = min(self._core.lease_until(), now + self._longest)
+        until = min(self._core.lease_until(), now + self._longest_hold_s)
         if self._hold_until(until) < _LEAST_HOLD_S:
             return
         for hold in self._holds.values():
@@ -239,7 +240,9 @@
         """Returns for how long a grant that is sent now may hold, seconds."""
         return (until - self._timers.now) / (1 + _DRIFT) - _TRANSIT_S
 
-    def as_written(self, order: Grant | Release) -> Grant | Release | None:
+    def with_remaining_hold(
+        self, order: Grant | Release
+    ) -> Grant | Release | None:
         """Returns an order as it may be written now.
 
         Time goes by until a connection has been made; a hold that begins
@@ -247,17 +250,17 @@
         """
         if isinstance(order, Release):
             return order
-        hold_s = min(order.hold, self._hold_until(order.until))
+        hold_s = min(order.hold_s, self._hold_until(order.until))
         if hold_s < _LEAST_HOLD_S:
             return None
-        return msgspec.structs.replace(order, hold=hold_s)
+        return msgspec.structs.replace(order, hold_s=hold_s)
 
     @property
-    def releasing(self) -> bool:
+    def has_pending_releases(self) -> bool:
         """Whether the target has not yet answered all releases."""
         return self._unreleased > 0
 
-    def release(self, moving: frozenset[int], done: Released) -> None:
+    def release(self, moving: frozenset[int], done: OnReleased) -> None:
         """Takes slots back from the target, before they move.
 
         Args:
@@ -291,8 +294,8 @@
                 lambda ordered, run=own: answered(run, ordered),
             )
 
-        def answered(run: slots.Run, ordered: Ordered) -> None:
-            if not ordered.carried_out:
+        def answered(run: slots.Run, ordered: OrderResult) -> None:
+            if not ordered.acknowledged:
                 logs.event("release_unanswered", first=run.first, last=run.last)
                 wait = max(0.0, ends - self._timers.now)
                 self._timers.after(wait, lambda: finished(run, ""))
@@ -305,7 +308,7 @@
             if len(handovers) == len(left):
                 done(handovers)
 
-    def released(self) -> None:
+    def end_release(self) -> None:
         """Notes that a move is over; what has not moved is granted again."""
         for slot in self._releasing:
             self._by_slot.pop(slot, None)
@@ -394,11 +397,11 @@
         first, last = slots.positions(run, self._slot_count())
         grant = Grant(first, last, hold.fence, hold_s, run.handover, until)
 
-        def answered(ordered: Ordered) -> None:
+        def answered(ordered: OrderResult) -> None:
             hold.asking = False
             self._ordered -= 1
             self._next()
-            if ordered.carried_out:
+            if ordered.acknowledged:
                 # It may count from its arrival, but not beyond the lease.
                 hold.held_until = until
                 hold.confirmed = True
--- a/tamarackgap/traffic/handoff.py
+++ b/tamarackgap/traffic/slotrelease.py
@@ -3,14 +3,14 @@
 import functools
 
 from tamarackgap.placement import slots
-from tamarackgap.traffic import keyholds
+from tamarackgap.traffic import slotgrants
 
 
-class HandOffs:
+class SlotReleaser:
     """The hand-off under way at a target, if there is one."""
 
     def __init__(
-        self, holds: keyholds.KeyHolds, done: keyholds.Released
+        self, holds: slotgrants.SlotGrants, done: slotgrants.OnReleased
     ) -> None:
         """Creates a target without a hand-off.
 
@@ -34,7 +34,7 @@
     def end(self) -> None:
         """Ends the hand-off: its slots have moved, or stay."""
         self._count += 1
-        self._holds.released()
+        self._holds.end_release()
 
     def _released(self, number: int, handovers: dict[slots.Run, str]) -> None:
         # An earlier one may end when the lease was lost meanwhile.
--- a/tamarackgap/traffic/targets.py
+++ b/tamarackgap/traffic/targets.py
@@ -9,10 +9,10 @@
 from tamarackgap.traffic import balancer
 
 # A daemon that has told nothing for so long is forgotten, seconds.
-_FORGOTTEN_S = 10 * balancer.SILENCE_S
+_FORGOTTEN_S = 10 * balancer.SILENCE_TIMEOUT_S
 
 
-class Targets:
+class TargetDirectory:
     """The targets that calls may be sent to, each by its daemon."""
 
     def __init__(
@@ -31,7 +31,7 @@
         # The incarnations at each address.
         self._at: dict[str, set[str]] = {}
 
-    def heard(
+    def update_status(
         self, sender: str, address: str, status: calls.Status
     ) -> list[str]:
         """Takes in what a daemon tells of itself.
@@ -64,19 +64,19 @@
         candidate.process = status.process
         candidate.interval = status.interval
         candidate.capacity = status.capacity
-        candidate.slowness = status.slowness
+        candidate.relative_latency = status.relative_latency
         self._loaded(candidate, status.running + status.waiting)
-        candidate.heard = self._timers.now
+        candidate.last_heard = self._timers.now
         return gone
 
-    def completed(self, sender: str, completion: calls.Completion) -> None:
+    def record_load(self, sender: str, completion: calls.Completion) -> None:
         """Takes in the load that a completion tells."""
         candidate = self._candidates.get(sender)
         if candidate is not None:
             self._loaded(candidate, completion.running + completion.waiting)
-            candidate.heard = max(candidate.heard, self._timers.now)
+            candidate.last_heard = max(candidate.last_heard, self._timers.now)
 
-    def drop(self, incarnation: str) -> None:
+    def remove(self, incarnation: str) -> None:
         """Forgets a daemon that is gone."""
         self._candidates.pop(incarnation, None)
         self._displace(incarnation)
@@ -91,16 +91,16 @@
         """Returns whether a target's daemon has told nothing lately."""
         return candidate.is_silent(self._timers.now)
 
-    def forgotten(self) -> list[str]:
+    def expired(self) -> list[str]:
         """Returns the daemons that were not heard for long."""
         since = self._timers.now - _FORGOTTEN_S
         return [
             name
             for name, candidate in self._candidates.items()
-            if candidate.heard < since
+            if candidate.last_heard < since
         ]
 
-    def of(self, service: str) -> Iterator[balancer.Candidate]:
+    def of_service(self, service: str) -> Iterator[balancer.Candidate]:
         """Yields a service's targets."""
         return (
             candidate
@@ -108,11 +108,11 @@
             if candidate.service == service
         )
 
-    def owner(self, incarnation: types.Incarnation) -> balancer.Candidate:
+    def for_owner(self, incarnation: types.Incarnation) -> balancer.Candidate:
         """Returns a key's owner, whether it has told of itself or not."""
         candidate = self._candidates.get(incarnation)
         if candidate is None:
-            return balancer.Candidate(incarnation, heard=self._timers.now)
+            return balancer.Candidate(incarnation, last_heard=self._timers.now)
         return candidate
 
     def addresses(self) -> set[str]:
@@ -126,9 +126,10 @@
         """Returns whether one more call would wait for no other."""
         now = self._timers.now
         return any(
-            candidate.busy + candidate.sent < candidate.capacity
-            for candidate in self.of(service)
-            if candidate.usable(now)
+            candidate.reported_load + candidate.sent_since_report
+            < candidate.capacity
+            for candidate in self.of_service(service)
+            if candidate.is_usable(now)
         )
 
     def address(self, incarnation: str) -> str:
@@ -174,5 +175,5 @@
             del self._at[address]
 
     def _loaded(self, candidate: balancer.Candidate, busy: int) -> None:
-        candidate.busy = busy
-        candidate.sent = 0
+        candidate.reported_load = busy
+        candidate.sent_since_report = 0
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -20,7 +20,7 @@
         ("a", 90),
         ("b", 10),
     ]
-    assert (route.timeout, route.aim, route.rank) == (2.0, 0.4, 0)
+    assert (route.timeout, route.latency_objective, route.rank) == (2.0, 0.4, 0)
     assert table.services["a"].keyed
     assert table.limits.request_s == 0.5
 
--- a/tests/processes/test_neighbours.py
+++ b/tests/processes/test_neighbours.py
@@ -13,7 +13,7 @@
 def test_a_daemon_that_is_not_heard_twice_still_counts_as_there(daemons):
     interval = neighbours.status_interval(daemons)
     assert interval >= 0.25
-    told = balancer.Candidate("a", heard=0.0, interval=interval)
+    told = balancer.Candidate("a", last_heard=0.0, interval=interval)
     assert not told.is_silent(2 * interval)
 
 
--- a/tests/traffic/test_admission.py
+++ b/tests/traffic/test_admission.py
@@ -6,27 +6,29 @@
 class Target:
     """A target with so many slots, in steps of one millisecond."""
 
-    def __init__(self, capacity, work=0.1, aim=0.3):
-        self.queue = admission.Admission()
+    def __init__(self, capacity, work=0.1, latency_objective=0.3):
+        self.queue = admission.AdmissionQueue()
         self.now = 0.0
         self.queue.resize(capacity, 0.0)
         self.work = work
-        self.aim = aim
+        self.latency_objective = latency_objective
         self.running = []
         self.started = []
         self.refused = []
 
-    def offer(self, name, rank=1, aim=None, deadline=1.0, waited=0.0):
-        aim = aim or self.aim
+    def offer(
+        self, name, rank=1, latency_objective=None, deadline=1.0, waited=0.0
+    ):
+        latency_objective = latency_objective or self.latency_objective
 
         def start():
             self.started.append(name)
-            self.running.append((self.now + self.work, aim))
+            self.running.append((self.now + self.work, latency_objective))
 
-        waiting = admission.Waiting(
+        waiting = admission.QueuedCall(
             rank,
-            aim,
-            self.now + aim - waited,
+            latency_objective,
+            self.now + latency_objective - waited,
             self.now + deadline,
             start,
             lambda refusal: self.refused.append((name, refusal)),
@@ -41,8 +43,8 @@
             done = [item for item in self.running if item[0] <= self.now]
             for item in done:
                 self.running.remove(item)
-                self.queue.finished(self.work, item[1], self.now)
-            self.queue.sweep(self.now)
+                self.queue.finish(self.work, item[1], self.now)
+            self.queue.refuse_late(self.now)
 
 
 def test_a_free_slot_is_used_at_once():
@@ -70,7 +72,7 @@
     target = Target(1)
     target.offer("first")
     target.offer("late", waited=0.29)
-    target.offer("in time", aim=0.3)
+    target.offer("in time", latency_objective=0.3)
     target.run(0.15)
     assert target.started == ["first", "in time"]
     target.run(0.1)
@@ -80,8 +82,8 @@
 def test_a_short_call_goes_before_a_long_one_of_its_rank():
     target = Target(1)
     target.offer("first")
-    target.offer("long", aim=0.6)
-    target.offer("short", aim=0.2)
+    target.offer("long", latency_objective=0.6)
+    target.offer("short", latency_objective=0.2)
     target.run(0.15)
     assert target.started == ["first", "short"]
 
@@ -129,11 +131,11 @@
 def test_a_target_that_turns_calls_away_gets_fewer():
     target = Target(10)
     for _ in range(3):
-        target.queue.turned_away()
+        target.queue.reduce_capacity()
     assert target.queue.capacity < 10
     for _ in range(40):
         target.queue._running += 1
-        target.queue.finished(0.1, 0.3, 0.0)
+        target.queue.finish(0.1, 0.3, 0.0)
     assert target.queue.capacity == 10
 
 
@@ -144,9 +146,13 @@
     due = 0.0
     while target.now < 10.0:
         if target.now >= due:
-            for kind, aim in (("short", 0.2), ("long", 0.4)):
+            for kind, latency_objective in (("short", 0.2), ("long", 0.4)):
                 count[kind] += 1
-                target.offer((kind, count[kind]), aim=aim, deadline=0.8)
+                target.offer(
+                    (kind, count[kind]),
+                    latency_objective=latency_objective,
+                    deadline=0.8,
+                )
             due += 0.05 * 2 / 2 / 1.5
         target.run(0.001)
     started = {
@@ -160,7 +166,7 @@
 def test_overload_leaves_most_of_the_served_in_time(factor):
     # One kind of call, more of it than the target can run: what is served
     # should be in time, and what is refused should hear of it early.
-    target = Target(4, work=0.1, aim=0.3)
+    target = Target(4, work=0.1, latency_objective=0.3)
     arrivals = {}
     held = {}
     interval = 0.1 / 4 / factor
@@ -192,4 +198,4 @@
     assert name == "second"
     # The one that was refused is the last that waited.
     assert (refusal.running, refusal.waiting) == (1, 1)
-    assert refusal.wait > 0
+    assert refusal.expected_wait > 0
--- a/tests/traffic/test_crashes.py
+++ b/tests/traffic/test_crashes.py
@@ -18,54 +18,54 @@
 
 
 def test_a_content_is_barred_after_crashes_of_two_targets():
-    found = crashes.Crashes()
-    assert not found.note("a", 10.0, 10.1)
+    found = crashes.CrashHistory()
+    assert not found.record("a", 10.0, 10.1)
     assert found.barred_for("a", 10.2) == 0
-    assert found.note("a", 10.15, 10.3)
-    assert found.barred_for("a", 10.3) == pytest.approx(crashes.BARRED_S)
+    assert found.record("a", 10.15, 10.3)
+    assert found.barred_for("a", 10.3) == pytest.approx(crashes.BAR_TIME_S)
     assert found.barred_for("b", 10.3) == 0
 
 
 def test_news_of_two_crashes_count_in_either_order():
-    found = crashes.Crashes()
-    assert not found.note("a", 10.5, 10.6)
-    assert found.note("a", 10.0, 10.1)
-    assert found.barred_for("a", 10.6) == pytest.approx(crashes.BARRED_S)
+    found = crashes.CrashHistory()
+    assert not found.record("a", 10.5, 10.6)
+    assert found.record("a", 10.0, 10.1)
+    assert found.barred_for("a", 10.6) == pytest.approx(crashes.BAR_TIME_S)
 
 
 def test_targets_that_crash_at_once_bar_nothing():
-    found = crashes.Crashes()
-    assert not found.note("a", 9.0, 10.0)
-    assert not found.note("a", 9.5, 10.001)
+    found = crashes.CrashHistory()
+    assert not found.record("a", 9.0, 10.0)
+    assert not found.record("a", 9.5, 10.001)
     assert found.barred_for("a", 10.1) == 0
 
 
 def test_an_answer_clears_a_content():
-    found = crashes.Crashes()
-    found.note("a", 10.0, 10.1)
+    found = crashes.CrashHistory()
+    found.record("a", 10.0, 10.1)
     assert found.clear("a")
     assert not found.clear("a")
-    assert not found.note("a", 11.0, 11.1)
+    assert not found.record("a", 11.0, 11.1)
 
 
 def test_it_gets_one_more_chance_in_a_while():
-    found = crashes.Crashes()
-    found.note("a", 10.0, 10.1)
-    found.note("a", 11.0, 11.1)
-    later = 11.1 + crashes.BARRED_S + 1
+    found = crashes.CrashHistory()
+    found.record("a", 10.0, 10.1)
+    found.record("a", 11.0, 11.1)
+    later = 11.1 + crashes.BAR_TIME_S + 1
     assert found.barred_for("a", later) == 0
-    assert found.note("a", later, later + 0.1)
+    assert found.record("a", later, later + 0.1)
     assert found.barred_for("a", later + 0.2) > 0
 
 
 def test_a_crash_long_ago_does_not_count():
-    found = crashes.Crashes()
-    found.note("a", 10.0, 10.1)
-    assert not found.note("a", 500.0, 500.1)
+    found = crashes.CrashHistory()
+    found.record("a", 10.0, 10.1)
+    assert not found.record("a", 500.0, 500.1)
 
 
 def test_the_memory_is_bounded():
-    found = crashes.Crashes()
+    found = crashes.CrashHistory()
     for number in range(3000):
-        found.note(str(number), 1.0, 1.1)
+        found.record(str(number), 1.0, 1.1)
     assert len(found) == 1000
--- a/tests/traffic/test_routetable.py
+++ b/tests/traffic/test_routetable.py
@@ -13,7 +13,9 @@
 
 
 def index(*routes):
-    return routetable.Index(routetable.RouteTable(1, routes, {}, door.Limits()))
+    return routetable.RouteIndex(
+        routetable.RouteTable(1, routes, {}, door.Limits())
+    )
 
 
 def test_the_longest_prefix_wins():
@@ -32,7 +34,7 @@
 
 
 def test_shares_are_kept_at_every_length():
-    spread = routetable.Spread()
+    spread = routetable.WeightedRoundRobin()
     split = route("h", "/", 70, 20, 10)
     counts = collections.Counter()
     for sent in range(1, 201):
--- a/tests/traffic/test_runner.py
+++ b/tests/traffic/test_runner.py
@@ -26,14 +26,14 @@
         self.runner = runner.Runner(
             "s",
             core,
-            module_types.SimpleNamespace(doubt=self._doubt),
+            module_types.SimpleNamespace(renew_soon=self._doubt),
             module_types.SimpleNamespace(send=self._send),
             runner.Codec(
                 lambda *unused: b"", lambda *unused: True, self._judge
             ),
             module_types.SimpleNamespace(now=self.now),
             lambda: None,
-            crashes.Crashes(),
+            crashes.CrashHistory(),
         )
         self.runner.attach("target", CAPACITY)
 
@@ -49,7 +49,7 @@
     def call(self):
         call = calls.Call("r", "s", "GET", "/", b"", b"", None)
         told = []
-        self.runner.take(
+        self.runner.submit(
             calls.Dispatch("i", 1, "s", call, 1.0, 1, True, 0.5, 0.5),
             "i",
             told.append,
@@ -87,7 +87,7 @@
         self.runner = runner.Runner(
             "s",
             core,
-            module_types.SimpleNamespace(doubt=lambda: None),
+            module_types.SimpleNamespace(renew_soon=lambda: None),
             module_types.SimpleNamespace(send=self._send),
             runner.Codec(
                 lambda *unused: b"",
@@ -98,7 +98,7 @@
             ),
             self.timers,
             lambda: None,
-            crashes.Crashes(),
+            crashes.CrashHistory(),
         )
         self.runner.attach("target", CAPACITY)
 
@@ -110,7 +110,7 @@
         call = calls.Call("r", "s", "GET", path, b"", b"", None)
         leg = len(self.told) + 1
         self.told.append(None)
-        self.runner.take(
+        self.runner.submit(
             calls.Dispatch(owner, leg, "s", call, 9.0, 1, True, 0.5, 0.5),
             "i",
             functools.partial(self.told.__setitem__, leg - 1),
@@ -132,7 +132,7 @@
     # Nobody has noticed yet that the target is gone.
     beside.call("/harmless")
     beside.end(1, broken=True)
-    assert len(beside.runner.take_crashed()) == 1
+    assert len(beside.runner.pop_crashed_runs()) == 1
 
 
 def test_an_answer_cut_before_others_were_given_is_no_crash():
@@ -144,7 +144,7 @@
     beside.end(1, broken=False)
     beside.call("/deadly")
     beside.end(2, broken=True)
-    assert len(beside.runner.take_crashed()) == 1
+    assert len(beside.runner.pop_crashed_runs()) == 1
 
 
 def test_all_calls_that_a_crash_met_may_be_its_cause():
@@ -153,7 +153,7 @@
         beside.call(path)
     for index in range(3):
         beside.end(index, broken=True)
-    assert len(beside.runner.take_crashed()) == 3
+    assert len(beside.runner.pop_crashed_runs()) == 3
 
 
 def test_calls_for_an_earlier_id_of_the_process_are_run():
--- a/tests/traffic/test_keyholds.py
+++ b/tests/traffic/test_slotgrants.py
@@ -4,7 +4,7 @@
 
 from tamarackgap.ownership import effects, ownership
 from tamarackgap.placement import slots
-from tamarackgap.traffic import keyholds
+from tamarackgap.traffic import slotgrants
 
 
 class Timers:
@@ -68,11 +68,11 @@
     def __call__(self, order, timeout, done):
         self.orders.append((order, done))
 
-    def answer(self, carried_out=True, **fields):
+    def answer(self, acknowledged=True, **fields):
         orders = self.orders
         self.orders = []
         for _, done in orders:
-            done(keyholds.Ordered(carried_out, **fields))
+            done(slotgrants.OrderResult(acknowledged, **fields))
         return [order for order, _ in orders]
 
 
@@ -81,7 +81,7 @@
     timers = Timers()
     core = Core(timers)
     target = Target()
-    holds = keyholds.KeyHolds(core, target, timers, 1.0, 10.0)
+    holds = slotgrants.SlotGrants(core, target, timers, 1.0, 10.0)
     return timers, core, target, holds
 
 
@@ -89,12 +89,12 @@
     timers, core, target, holds = subject
     core.own(0, 127, 3)
     holds.renew()
-    assert not holds.held(5, timers.now)
+    assert not holds.is_held(5, timers.now)
     (grant,) = target.answer()
     assert (grant.first, grant.last) == (0, 128 * 256 - 1)
-    assert grant.fence == 3 * keyholds.FENCE_STEP
-    assert holds.held(5, timers.now)
-    assert not holds.held(200, timers.now)
+    assert grant.fence == 3 * slotgrants.FENCE_STEP
+    assert holds.is_held(5, timers.now)
+    assert not holds.is_held(200, timers.now)
 
 
 def test_a_hold_ends_before_the_lease_on_a_slow_clock(subject):
@@ -102,18 +102,18 @@
     core.own(0, 1, 1)
     holds.renew()
     (grant,) = target.answer()
-    assert grant.hold * 1.02 < core.lease
+    assert grant.hold_s * 1.02 < core.lease
 
 
 def test_a_hold_is_no_longer_than_the_target_takes(subject):
     timers, core, target, _ = subject
-    holds = keyholds.KeyHolds(core, target, timers, 1.0, 0.4)
+    holds = slotgrants.SlotGrants(core, target, timers, 1.0, 0.4)
     core.own(0, 1, 1)
     holds.renew()
     (grant,) = target.answer()
-    assert grant.hold <= 0.4
+    assert grant.hold_s <= 0.4
     timers.step(0.5)
-    assert not holds.held(0, timers.now)
+    assert not holds.is_held(0, timers.now)
 
 
 def test_few_orders_are_under_way_at_once(subject):
@@ -124,7 +124,7 @@
     assert len(target.orders) == 2
     while target.orders:
         target.answer()
-    assert all(holds.held(slot, timers.now) for slot in range(0, 60, 2))
+    assert all(holds.is_held(slot, timers.now) for slot in range(0, 60, 2))
 
 
 def test_slots_that_stay_are_held_while_others_move(subject):
@@ -134,8 +134,8 @@
     target.answer()
     released = []
     holds.release(frozenset({8, 9}), released.append)
-    assert holds.held(0, timers.now)
-    assert not holds.held(9, timers.now)
+    assert holds.is_held(0, timers.now)
+    assert not holds.is_held(9, timers.now)
     target.answer(handover="token")
     assert released == [{slots.Run(8, 9, 1): "token"}]
 
@@ -147,7 +147,7 @@
     target.answer()
     released = []
     holds.release(frozenset(range(10)), released.append)
-    target.answer(carried_out=False)
+    target.answer(acknowledged=False)
     assert not released
     timers.step(1.01)
     assert released
@@ -157,11 +157,11 @@
     timers, core, target, holds = subject
     core.own(0, 9, 1)
     holds.renew()
-    target.answer(carried_out=False)
+    target.answer(acknowledged=False)
     assert holds.pause() == pytest.approx(1.0)
     released = []
     holds.release(frozenset(range(10)), released.append)
-    target.answer(carried_out=False)
+    target.answer(acknowledged=False)
     assert not released
     timers.step(1.01)
     assert released
@@ -177,21 +177,21 @@
     moved = []
     holds.release(frozenset({0, 1}), moved.append)
     done = []
-    holds.give_up(lambda: done.append(True))
+    holds.release_all(lambda: done.append(True))
     target.answer()
     core.lose(0, 1)
-    holds.released()
+    holds.end_release()
     timers.step(0.3)
     holds.renew()
     assert not target.orders
     assert done
     core.owned.clear()
     core.slots_version += 1
-    holds.begin_anew()
+    holds.reset()
     core.own(4, 5, 9)
     holds.renew()
     fences = [order.fence for order, _ in target.orders]
-    assert fences == [9 * keyholds.FENCE_STEP]
+    assert fences == [9 * slotgrants.FENCE_STEP]
 
 
 def test_slots_that_were_given_up_are_granted_under_the_next_lease(subject):
@@ -199,16 +199,16 @@
     core.own(0, 9, 1)
     holds.renew()
     target.answer()
-    holds.give_up(lambda: None)
+    holds.release_all(lambda: None)
     target.answer()
     core.owned.clear()
     core.slots_version += 1
-    holds.begin_anew()
+    holds.reset()
     core.own(4, 5, 9)
     holds.renew()
     (grant,) = target.answer()
-    assert grant.fence == 9 * keyholds.FENCE_STEP
-    assert holds.held(4, timers.now)
+    assert grant.fence == 9 * slotgrants.FENCE_STEP
+    assert holds.is_held(4, timers.now)
 
 
 def test_a_slot_is_confirmed_by_an_answer_only(subject):
@@ -216,17 +216,17 @@
     # the target took it under a fence that was passed: OWNER in a hunt.
     timers, core, target, holds = subject
     core.own(0, 9, 1)
-    assert not holds.confirmed(3)
+    assert not holds.is_confirmed(3)
     holds.renew()
-    target.answer(carried_out=False)
-    assert not holds.confirmed(3)
+    target.answer(acknowledged=False)
+    assert not holds.is_confirmed(3)
     holds.renew()
     target.answer()
-    assert holds.confirmed(3)
+    assert holds.is_confirmed(3)
     core.own(3, 3, 2)
     holds.renew()
-    assert not holds.confirmed(3)
-    assert holds.confirmed(4)
+    assert not holds.is_confirmed(3)
+    assert holds.is_confirmed(4)
 
 
 def test_a_grant_after_one_without_answer_has_a_higher_fence(subject):
@@ -238,13 +238,13 @@
     target.answer()
     timers.step(0.5)
     holds.renew()
-    (late,) = target.answer(carried_out=False)
-    assert not holds.confirmed(3)
+    (late,) = target.answer(acknowledged=False)
+    assert not holds.is_confirmed(3)
     holds.renew()
     (again,) = target.answer()
     assert again.fence > late.fence
-    assert again.fence < 6 * keyholds.FENCE_STEP
-    assert holds.confirmed(3)
+    assert again.fence < 6 * slotgrants.FENCE_STEP
+    assert holds.is_confirmed(3)
     holds.release(frozenset({8, 9}), lambda handovers: None)
     (release,) = target.answer()
     assert release.fence == again.fence
@@ -255,23 +255,23 @@
     core.own(0, 9, 1)
     holds.renew()
     target.answer()
-    assert holds.confirmed(3)
+    assert holds.is_confirmed(3)
     timers.step(0.5)
     holds.renew()
-    assert not holds.confirmed(3)
+    assert not holds.is_confirmed(3)
     target.answer()
-    assert holds.confirmed(3)
+    assert holds.is_confirmed(3)
 
 
 def test_what_was_unanswered_is_remembered_when_runs_change(subject):
     timers, core, target, holds = subject
     core.own(0, 9, 1)
     holds.renew()
-    target.answer(carried_out=False)
+    target.answer(acknowledged=False)
     core.lose(8, 9)
     holds.renew()
     (grant,) = target.answer()
-    assert grant.fence == keyholds.FENCE_STEP + 1
+    assert grant.fence == slotgrants.FENCE_STEP + 1
 
 
 def test_a_grant_under_way_counts_as_unanswered_when_runs_change(subject):
@@ -286,26 +286,26 @@
     target.orders = []
     core.lose(8, 9)
     holds.renew()
-    assert not holds.confirmed(3)
+    assert not holds.is_confirmed(3)
     timers.step(0.5)
     holds.renew()
     (grant,) = target.answer()
     assert grant.fence > late.fence
-    assert holds.confirmed(3)
-    tell_late(keyholds.Ordered(False))
-    assert holds.confirmed(3)
+    assert holds.is_confirmed(3)
+    tell_late(slotgrants.OrderResult(False))
+    assert holds.is_confirmed(3)
 
 
 def test_fences_do_not_fall_after_a_move_that_failed(subject):
     timers, core, target, holds = subject
     core.own(0, 9, 1)
     holds.renew()
-    target.answer(carried_out=False)
+    target.answer(acknowledged=False)
     holds.renew()
     (last,) = target.answer()
     holds.release(frozenset({8, 9}), lambda handovers: None)
     target.answer()
-    holds.released()
+    holds.end_release()
     holds.renew()
     fences = [grant.fence for grant in target.answer()]
     assert min(fences) >= last.fence
@@ -315,7 +315,7 @@
     timers, core, target, holds = subject
     core.own(0, 9, 1)
     holds.renew()
-    target.answer(carried_out=False, superseded=True)
+    target.answer(acknowledged=False, superseded=True)
     timers.step(0.5)
     holds.renew()
     assert not target.orders
@@ -339,11 +339,11 @@
     core.own(0, 127, 3)
     holds.renew()
     assert target.orders == []
-    assert not holds.held(5, timers.now)
+    assert not holds.is_held(5, timers.now)
     core.view.founded = lambda service: Founded
     holds.renew()
     target.answer()
-    assert holds.held(5, timers.now)
+    assert holds.is_held(5, timers.now)
 
 
 def test_a_grant_that_waited_for_its_connection_holds_no_longer(subject):
@@ -355,11 +355,11 @@
     ((grant, _),) = target.orders
     ends = timers.now + core.lease
     timers.now += 0.3
-    written = holds.as_written(grant)
-    assert timers.now + written.hold * 1.02 < ends
-    assert written.hold < grant.hold
+    written = holds.with_remaining_hold(grant)
+    assert timers.now + written.hold_s * 1.02 < ends
+    assert written.hold_s < grant.hold_s
     timers.now = ends - 0.2
-    assert holds.as_written(grant) is None
+    assert holds.with_remaining_hold(grant) is None
 
 
 def test_a_process_that_stands_still_for_a_tenth_holds_nothing_too_long(
@@ -370,7 +370,7 @@
     holds.renew()
     ((grant, _),) = target.orders
     arrives = timers.now + 0.1
-    assert arrives + grant.hold * 1.02 <= timers.now + core.lease
+    assert arrives + grant.hold_s * 1.02 <= timers.now + core.lease
 
 
 def test_grants_without_answer_are_waited_for_when_the_target_is_another(
@@ -386,15 +386,15 @@
     holds.renew()
     ((grant, done),) = target.orders
     doubtful = holds.stop()
-    assert doubtful >= grant.hold
-    done(keyholds.Ordered(False))
+    assert doubtful >= grant.hold_s
+    done(slotgrants.OrderResult(False))
     assert holds.stop() == pytest.approx(doubtful)
-    assert not holds.held(0, timers.now)
+    assert not holds.is_held(0, timers.now)
     target.orders.clear()
     timers.step(0.3)
     holds.renew()
     assert not target.orders
-    holds.begin_anew()
+    holds.reset()
     holds.renew()
     assert target.orders
 
--- a/tests/traffic/test_handoff.py
+++ b/tests/traffic/test_slotrelease.py
@@ -1,6 +1,6 @@
 import pytest
 
-from tamarackgap.traffic import handoff
+from tamarackgap.traffic import slotrelease
 
 MOVING = frozenset({3, 4})
 
@@ -15,7 +15,7 @@
     def release(self, moving, done):
         self.asked.append((moving, done))
 
-    def released(self):
+    def end_release(self):
         self.ended += 1
 
 
@@ -23,7 +23,7 @@
 def subject():
     holds = Holds()
     done = []
-    return holds, done, handoff.HandOffs(holds, done.append)
+    return holds, done, slotrelease.SlotReleaser(holds, done.append)
 
 
 def test_what_the_target_said_is_handed_on(subject):
