--- a/standins/target.py
+++ b/standins/target.py
@@ -13,7 +13,7 @@
 
 from standins import httpd
 from tamarackgap.placement import slots
-from tamarackgap.requests import target as target_lib
+from tamarackgap.requests import targetclient
 
 
 class Faults(msgspec.Struct):
@@ -71,7 +71,7 @@
 
     def __init__(
         self,
-        announcement: target_lib.Announcement,
+        announcement: targetclient.Announcement,
         log: str,
         work_ms: float,
         cold_s: float,
@@ -126,7 +126,7 @@
         return self._run(query)
 
     def _grant(self, query: httpd.Query) -> httpd.Reply:
-        grant = msgspec.json.decode(query.body, type=target_lib.Grant)
+        grant = msgspec.json.decode(query.body, type=targetclient.Grant)
         with self._lock:
             self._granted = slots.expand(grant.runs)
             self._granted_until = grant.until
@@ -276,7 +276,7 @@
     log: str,
 ) -> None:
     """Runs a target's stand-in until it is stopped."""
-    announcement = target_lib.Announcement(
+    announcement = targetclient.Announcement(
         name, service, listen, slots, connections, checks_grants
     )
     state = Target(announcement, log, work_ms, cold_s)
--- a/tamarackgap/processes/daemon.py
+++ b/tamarackgap/processes/daemon.py
@@ -15,16 +15,16 @@
 from tamarackgap.peers import messages, peers
 from tamarackgap.processes import protocol
 from tamarackgap.requests import (
-    entry,
+    dedup,
+    executor,
+    forwarder,
     granting,
-    memory,
     pages,
+    quarantine,
     retries,
-    suspects,
-    target,
+    targetclient,
     web,
 )
-from tamarackgap.requests import owner as owner_lib
 from tamarackgap.settings import config
 from tamarackgap.table import tableclient, tablereader
 
@@ -62,7 +62,7 @@
         self._metrics = metrics.Metrics(
             settings.daemon_name, settings.daemon_service
         )
-        self._target = target.Target(
+        self._target = targetclient.TargetClient(
             self._http,
             clock,
             settings.target_silence / 1000,
@@ -96,11 +96,13 @@
         self._granter = granting.Granter(
             self._core, self._target, settings.ownership_lease / 1000, clock
         )
-        self._suspects = suspects.Suspects(_SUSPECTS_KEPT_S, _SUSPECTS_LIMIT)
-        self._owner = owner_lib.Owner(
+        self._suspects = quarantine.Quarantine(
+            _SUSPECTS_KEPT_S, _SUSPECTS_LIMIT
+        )
+        self._owner = executor.Executor(
             self._core,
             self._target,
-            memory.Memory(
+            dedup.DedupCache(
                 settings.requests_window,
                 settings.requests_remembered,
                 settings.requests_skew,
@@ -111,7 +113,7 @@
             _wall_ms,
             self._metrics,
         )
-        self._entry = entry.Entry(
+        self._entry = forwarder.Forwarder(
             self._core,
             self._owner,
             self._peers,
@@ -141,7 +143,7 @@
         self._begin()
 
     def _busy(self, slot: int) -> bool:
-        return self._owner.busy(slot)
+        return self._owner.is_slot_busy(slot)
 
     def _begin(self) -> None:
         settings = self._settings
@@ -176,7 +178,7 @@
         ):
             self._core.accept(
                 self._target.takes_work
-                and self._owner.is_fit()
+                and self._owner.is_target_healthy()
                 and not leaving,
                 self._target.checks_grants,
             )
@@ -190,10 +192,10 @@
         policy = self._core.view.policy(
             self._settings.daemon_service, self._settings.daemon_data_centre
         )
-        self._owner.resize(policy)
+        self._owner.apply_limits(policy)
 
     def _tell_load(self) -> None:
-        self._core.served(self._owner.rates(), time.monotonic())
+        self._core.served(self._owner.slot_loads(), time.monotonic())
         self._carry_out()
 
     def _carry_out(self) -> None:
@@ -219,16 +221,16 @@
     def _log_decision(self, event: str, fields: dict[str, object]) -> None:
         logs.event(event, incarnation=self._core.incarnation, **fields)
         if event == "routes_claimed":
-            self._entry.lost(str(fields["owner"]))
+            self._entry.fail_owner(str(fields["owner"]))
 
     def _receive(self, envelope: messages.Envelope) -> None:
         match envelope.message:
             case messages.Forward() as forward:
-                self._owner.take(
+                self._owner.submit(
                     forward, functools.partial(self._reply, envelope.address)
                 )
             case messages.Outcome() as outcome:
-                self._entry.answered(outcome)
+                self._entry.handle_reply(outcome)
             case messages.Cancel(leg=leg):
                 self._owner.cancel(leg)
             case messages.Crashed() as crashed:
@@ -245,11 +247,11 @@
                 )
 
     def _learn_crashed(self, crashed: messages.Crashed) -> None:
-        standing = suspects.Standing.SUSPECTED
+        standing = quarantine.QuarantineState.SUSPECTED
         if crashed.alone:
-            standing = suspects.Standing.CONVICTED
+            standing = quarantine.QuarantineState.BLOCKED
         for content in crashed.contents:
-            self._suspects.note(content, standing, time.monotonic())
+            self._suspects.add(content, standing, time.monotonic())
 
     def _reply(self, address: str, outcome: messages.Outcome) -> None:
         self._peers.send(self._core.incarnation, address, outcome)
@@ -275,10 +277,12 @@
 
     # The target.
 
-    def _announced(self, announcement: target.Announcement) -> str | None:
-        wrong = target.problem(announcement, self._settings.daemon_service)
+    def _announced(self, announcement: targetclient.Announcement) -> str | None:
+        wrong = targetclient.announcement_error(
+            announcement, self._settings.daemon_service
+        )
         if wrong is None:
-            self._target.announced(announcement)
+            self._target.record_announcement(announcement)
             self._resize()
         return wrong
 
@@ -334,7 +338,7 @@
             "lease_left_seconds": max(0.0, left),
             "epoch": self._core.epoch,
             "in_progress": self._owner.in_progress,
-            "queued": self._owner.waiting,
+            "queued": self._owner.queued,
             "table_revision": self._core.view.cursor,
             "table_reads": self._table.reads,
             "table_writes": self._table.writes,
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -165,7 +165,7 @@
             self._crashes,
         )
         self._hand_offs = handoff.HandOffs(self._holds, self._core.handed_off)
-        self._budgets = retries.ServiceBudgets(
+        self._budgets = retries.ServiceRetryBudgets(
             settings.router_reruns / 100, settings.router_extra_reruns
         )
         self._entry = dispatcher.Dispatcher(
@@ -394,7 +394,7 @@
         linked = {record.peer_address for record in members}
         self._peers.keep(linked | self._entry.addresses())
         self._outside.store.pace(neighbours.read_pause(len(members)))
-        self._budgets.share(len(members))
+        self._budgets.set_daemon_count(len(members))
         self._carry_out()
 
     def _read_failed(self, problem: str) -> None:
--- a/tamarackgap/requests/memory.py
+++ b/tamarackgap/requests/dedup.py
@@ -8,7 +8,7 @@
 from tamarackgap import verdicts
 
 
-class Known(enum.Enum):
+class RequestState(enum.Enum):
     """What is known of a request's id."""
 
     # It certainly has not run here or anywhere else.
@@ -24,7 +24,7 @@
     outcome: verdicts.Result | None = None
 
 
-class Memory:
+class DedupCache:
     """Ids that this owner has begun to run, for a window of time."""
 
     def __init__(self, window_ms: int, limit: int, skew_ms: int) -> None:
@@ -47,14 +47,14 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def look(
+    def lookup(
         self,
         request: str,
         attempt: int,
         first_sent_ms: int,
         owned_since_ms: int,
         now_ms: int,
-    ) -> Known:
+    ) -> RequestState:
         """Returns what is known of an id.
 
         Args:
@@ -67,27 +67,27 @@
         entry = self._entries.get(request)
         if entry is not None:
             done = entry.outcome is not None
-            return Known.FINISHED if done else Known.IN_PROGRESS
+            return RequestState.FINISHED if done else RequestState.IN_PROGRESS
         if attempt == 1:
-            return Known.FRESH
+            return RequestState.FRESH
         known_since = max(
             owned_since_ms, self._floor_ms, now_ms - self._window_ms
         )
         if first_sent_ms < known_since + self._skew_ms:
-            return Known.UNKNOWN
-        return Known.FRESH
+            return RequestState.UNKNOWN
+        return RequestState.FRESH
 
-    def outcome(self, request: str) -> verdicts.Result | None:
+    def result_of(self, request: str) -> verdicts.Result | None:
         """Returns the remembered result of a finished id, or None."""
         entry = self._entries.get(request)
         return entry.outcome if entry is not None else None
 
-    def begin(self, request: str, now_ms: int) -> None:
+    def record_start(self, request: str, now_ms: int) -> None:
         """Notes that the request is about to be handed over."""
         self._forget(now_ms)
         self._entries[request] = _Entry(now_ms)
 
-    def finish(self, request: str, outcome: verdicts.Result) -> None:
+    def record_result(self, request: str, outcome: verdicts.Result) -> None:
         """Notes the result; one that did not run may be sent again."""
         if request not in self._entries:
             return
--- a/tamarackgap/requests/owner.py
+++ b/tamarackgap/requests/executor.py
@@ -11,13 +11,19 @@
 from tamarackgap.ownership import ownership
 from tamarackgap.peers import messages
 from tamarackgap.placement import heat, records, slots
-from tamarackgap.requests import fitness, limiter, memory, suspects, target
+from tamarackgap.requests import (
+    dedup,
+    health,
+    limiter,
+    quarantine,
+    targetclient,
+)
 
 # A grant must have ended at the target before a successor begins.
 _LEASE_MARGIN_S = 0.02
 _HOT_KEYS = 5
 
-Reply = Callable[[messages.Outcome], None]
+ReplyCallback = Callable[[messages.Outcome], None]
 
 
 class Leg(msgspec.Struct):
@@ -27,31 +33,31 @@
         forward: The request.
         deadline: The caller's deadline on this clock, seconds.
         reply: Takes the outcome, once.
-        content: Fingerprint of what it asks for.
-        alone: Whether nothing else may run beside it.
-        begun: When it was handed over, seconds.
+        fingerprint: Fingerprint of what it asks for.
+        exclusive: Whether nothing else may run beside it.
+        started_at: When it was handed over, seconds.
         cancel: Cancels it at the target, once it was handed over.
     """
 
     forward: messages.Forward
     deadline: float
-    reply: Reply
-    content: str = ""
-    alone: bool = False
-    begun: float = 0.0
+    reply: ReplyCallback
+    fingerprint: str = ""
+    exclusive: bool = False
+    started_at: float = 0.0
     cancel: Callable[[], None] | None = None
 
 
-class Owner:
+class Executor:
     """All requests for keys that this daemon owns."""
 
     def __init__(
         self,
         core: ownership.Ownership,
-        beside: target.Target,
-        remembered: memory.Memory,
-        suspected: suspects.Suspects,
-        crashed: Callable[[messages.Crashed], None],
+        target: targetclient.TargetClient,
+        dedup_cache: dedup.DedupCache,
+        quarantined_requests: quarantine.Quarantine,
+        report_crash: Callable[[messages.Crashed], None],
         clock: scheduler.Clock,
         wall_ms: Callable[[], int],
         counters: metrics.Metrics,
@@ -60,20 +66,21 @@
 
         Args:
             core: Says which slots are owned.
-            beside: The target.
-            remembered: Ids of non-idempotent requests.
-            suspected: Contents that were there when a target crashed.
-            crashed: Tells other daemons of such contents.
+            target: The target.
+            dedup_cache: Ids of non-idempotent requests.
+            quarantined_requests: Contents that were there when a target
+                crashed.
+            report_crash: Tells other daemons of such contents.
             clock: The VM's monotonic clock, seconds.
             wall_ms: Wall clock, milliseconds since 1970.
             counters: Metrics.
         """
         self._core = core
-        self._target = beside
-        self._memory = remembered
-        self._suspects = suspected
-        self._crashed = crashed
-        self._fitness = fitness.Fitness()
+        self._target = target
+        self._memory = dedup_cache
+        self._suspects = quarantined_requests
+        self._crashed = report_crash
+        self._fitness = health.PassiveHealthCheck()
         self._meter = heat.SlotMeter(clock())
         self._hot_keys = heat.HotKeys(clock())
         self._clock = clock
@@ -89,40 +96,40 @@
         return self._limiter.in_progress
 
     @property
-    def waiting(self) -> int:
+    def queued(self) -> int:
         """Number of requests that wait for the target."""
-        return self._limiter.waiting
+        return self._limiter.queued
 
-    def busy(self, slot: int) -> bool:
+    def is_slot_busy(self, slot: int) -> bool:
         """Returns whether requests of a slot are at the target."""
         return slot in self._busy
 
-    def is_fit(self) -> bool:
+    def is_target_healthy(self) -> bool:
         """Returns whether the target answers what it is given."""
-        return self._fitness.is_fit(self._clock())
+        return self._fitness.is_healthy(self._clock())
 
-    def rates(self) -> dict[int, float]:
+    def slot_loads(self) -> dict[int, float]:
         """Returns requests a second of each slot that is owned here."""
         since = {slot: held.since for slot, held in self._core.owned.items()}
         return self._meter.rates(since, self._clock())
 
-    def hottest(self) -> list[heat.HotKey]:
+    def hot_keys(self) -> list[heat.HotKey]:
         """Returns the keys that bring most load."""
         return self._hot_keys.hottest(_HOT_KEYS)
 
-    def resize(self, policy: records.Policy) -> None:
+    def apply_limits(self, policy: records.Policy) -> None:
         """Follows the target's announcement and the operators' limits."""
         limit = self._target.concurrency
         if policy.in_progress:
             limit = min(limit, policy.in_progress)
         now = self._clock()
-        self._limiter.resize(limit, policy.queue, now)
+        self._limiter.set_limits(limit, policy.queue, now)
         if not limit:
-            self._limiter.flush()
+            self._limiter.shed_all()
         else:
-            self._limiter.pump(now)
+            self._limiter.start_queued(now)
 
-    def take(self, forward: messages.Forward, reply: Reply) -> None:
+    def submit(self, forward: messages.Forward, reply: ReplyCallback) -> None:
         """Deals with a request; `reply` is called once, perhaps at once."""
         now = self._clock()
         leg = Leg(forward, now + forward.remaining, reply)
@@ -135,20 +142,20 @@
             if outcome is not None:
                 self._answer(leg, outcome)
                 return
-        leg.content = suspects.fingerprint(forward)
-        standing = self._suspects.standing(leg.content, now)
-        if standing is suspects.Standing.CONVICTED:
+        leg.fingerprint = quarantine.fingerprint_of(forward)
+        standing = self._suspects.state(leg.fingerprint, now)
+        if standing is quarantine.QuarantineState.BLOCKED:
             reason = types.Reason.CRASHES_TARGETS
             self._answer(leg, verdicts.not_run(reason))
             return
-        leg.alone = standing is suspects.Standing.SUSPECTED
+        leg.exclusive = standing is quarantine.QuarantineState.SUSPECTED
         self._legs[forward.leg] = leg
-        waiting = limiter.Waiting(
+        waiting = limiter.QueuedRequest(
             leg.deadline,
             functools.partial(self._start, leg),
             functools.partial(self._shed, leg),
             forward.urgent,
-            leg.alone,
+            leg.exclusive,
         )
         if not self._limiter.admit(waiting, now):
             self._answer(leg, verdicts.not_run(types.Reason.QUEUE_FULL))
@@ -178,7 +185,7 @@
         held = self._core.find(forward.slot)
         wall_ms = self._wall_ms()
         held_ms = int((self._clock() - held.since) * 1000)
-        known = self._memory.look(
+        known = self._memory.lookup(
             forward.request,
             forward.attempt,
             forward.first_sent_ms,
@@ -186,13 +193,13 @@
             wall_ms,
         )
         match known:
-            case memory.Known.FRESH:
+            case dedup.RequestState.FRESH:
                 return None
-            case memory.Known.FINISHED:
-                return self._memory.outcome(forward.request)
-            case memory.Known.IN_PROGRESS:
+            case dedup.RequestState.FINISHED:
+                return self._memory.result_of(forward.request)
+            case dedup.RequestState.IN_PROGRESS:
                 return verdicts.may_have_run(types.Reason.IN_PROGRESS)
-            case memory.Known.UNKNOWN:
+            case dedup.RequestState.UNKNOWN:
                 return verdicts.may_have_run(types.Reason.REPEAT_UNKNOWN)
 
     def _start(self, leg: Leg) -> None:
@@ -209,17 +216,19 @@
             self._finish(leg, verdicts.not_run(refusal))
             return
         held = self._core.find(forward.slot)
-        leg.begun = now
+        leg.started_at = now
         if not forward.idempotent:
             repeat = self._repeat(forward)
             if repeat is not None:
                 self._finish(leg, repeat)
                 return
-            self._memory.begin(forward.request, self._wall_ms())
+            self._memory.record_start(forward.request, self._wall_ms())
         self._busy[forward.slot] = self._busy.get(forward.slot, 0) + 1
         self._meter.count(forward.slot, now)
         self._hot_keys.count(forward.key, now)
-        order = target.Order(forward, held.fence, self._run_until(leg))
+        order = targetclient.TargetRequest(
+            forward, held.fence, self._run_until(leg)
+        )
         logs.event(
             "handed_over",
             request=forward.request,
@@ -230,7 +239,7 @@
             fence=held.fence,
             lease_left=round(self._core.lease_until() - now, 4),
             in_progress=self.in_progress,
-            alone=leg.alone,
+            alone=leg.exclusive,
         )
         leg.cancel = self._target.run(order, functools.partial(self._ran, leg))
 
@@ -251,48 +260,51 @@
         if left:
             self._busy[slot] = left
         if not leg.forward.idempotent:
-            self._memory.finish(leg.forward.request, outcome)
+            self._memory.record_result(leg.forward.request, outcome)
         self._judge_target(leg, outcome)
         self._finish(leg, outcome)
 
     def _became_suspect(self, leg: Leg, now: float) -> bool:
-        standing = self._suspects.standing(leg.content, now)
-        return not leg.alone and standing is not suspects.Standing.CLEAR
+        standing = self._suspects.state(leg.fingerprint, now)
+        return (
+            not leg.exclusive
+            and standing is not quarantine.QuarantineState.CLEAR
+        )
 
     def _judge_target(self, leg: Leg, outcome: verdicts.Result) -> None:
         """Learns from a run what it says of the target and the request."""
         now = self._clock()
         refusal = outcome.swap().value_or(None)
         if refusal is None:
-            self._fitness.served()
-            self._limiter.served()
-            self._target.served()
-            if leg.alone:
-                self._suspects.clear(leg.content)
+            self._fitness.record_answer()
+            self._limiter.record_answer()
+            self._target.record_answer()
+            if leg.exclusive:
+                self._suspects.remove(leg.fingerprint)
             return
         if refusal.reason is types.Reason.TARGET_REFUSED:
-            self._limiter.refused()
+            self._limiter.record_overload()
         if not refusal.may_have_run:
             return
-        if self._fitness.failed(now - leg.begun, now):
+        if self._fitness.record_failure(now - leg.started_at, now):
             logs.event("target_unfit", request=leg.forward.request)
         if refusal.reason is types.Reason.TARGET_FAILED:
             self._suspect(leg, now)
 
     def _suspect(self, leg: Leg, now: float) -> None:
         """Tells everybody of a request that was there at a crash."""
-        standing = suspects.Standing.SUSPECTED
-        if leg.alone:
-            standing = suspects.Standing.CONVICTED
-        self._suspects.note(leg.content, standing, now)
+        standing = quarantine.QuarantineState.SUSPECTED
+        if leg.exclusive:
+            standing = quarantine.QuarantineState.BLOCKED
+        self._suspects.add(leg.fingerprint, standing, now)
         logs.event(
             "request_suspected",
             request=leg.forward.request,
             key=leg.forward.key,
-            content=leg.content,
+            content=leg.fingerprint,
             standing=standing.value,
         )
-        self._crashed(messages.Crashed((leg.content,), leg.alone))
+        self._crashed(messages.Crashed((leg.fingerprint,), leg.exclusive))
 
     def _finish(self, leg: Leg, outcome: verdicts.Result) -> None:
         self._answer(leg, outcome)
--- a/tamarackgap/requests/entry.py
+++ b/tamarackgap/requests/forwarder.py
@@ -13,8 +13,7 @@
 from tamarackgap.ownership import ownership
 from tamarackgap.peers import messages, peers
 from tamarackgap.placement import routes, slots
-from tamarackgap.requests import owner as owner_lib
-from tamarackgap.requests import retries
+from tamarackgap.requests import executor, retries
 
 _BACKOFF_S = 0.005
 _BACKOFF_MAX_S = 0.04
@@ -39,11 +38,11 @@
 _LOCAL = frozenset({types.Reason.NO_OWNER, types.Reason.PEER_UNREACHABLE})
 
 
-class Request(msgspec.Struct, frozen=True):
+class CallerRequest(msgspec.Struct, frozen=True):
     """A caller's request, checked.
 
     Attributes:
-        request: Its id.
+        request_id: Its id.
         service: The service.
         key: The key.
         method: HTTP method.
@@ -56,7 +55,7 @@
         urgent: False where it can wait.
     """
 
-    request: str
+    request_id: str
     service: str
     key: str
     method: str
@@ -69,40 +68,40 @@
     urgent: bool
 
 
-Done = Callable[[verdicts.Result], None]
+DoneCallback = Callable[[verdicts.Result], None]
 
 
-class Flight:
+class PendingRequest:
     """A caller's request under way."""
 
     def __init__(
-        self, request: Request, slot: int, now: float, done: Done
+        self, request: CallerRequest, slot: int, now: float, done: DoneCallback
     ) -> None:
         """Creates a flight that began `now`."""
         self.request = request
         self.slot = slot
-        self.begun = now
+        self.started_at = now
         self.deadline = now + request.timeout
-        self.done: Done | None = done
+        self.on_done: DoneCallback | None = done
         self.leg = ""
         self.route: routes.Route | None = None
         self.attempts = 0
         self.backoff = _BACKOFF_S
-        self.timer: scheduler.Timer | None = None
+        self.deadline_timer: scheduler.Timer | None = None
         # Once a leg may have run, no later refusal may say "not run".
         self.may_have_run = False
-        self.last = verdicts.Refusal(
+        self.last_refusal = verdicts.Refusal(
             types.Verdict.NOT_RUN, types.Reason.NO_OWNER
         )
 
 
-class Entry:
+class Forwarder:
     """All requests that callers sent to this daemon."""
 
     def __init__(
         self,
         core: ownership.Ownership,
-        own: owner_lib.Owner,
+        request_executor: executor.Executor,
         links: peers.Peers,
         timers: scheduler.Scheduler,
         budget: retries.RetryBudget,
@@ -113,7 +112,7 @@
 
         Args:
             core: Knows the routes.
-            own: Serves the slots that this daemon owns itself.
+            request_executor: Serves the slots that this daemon owns itself.
             links: Links to the other owners.
             timers: For deadlines and backoff.
             budget: Bounds the legs that are sent again.
@@ -121,13 +120,13 @@
             counters: Metrics.
         """
         self._core = core
-        self._owner = own
+        self._owner = request_executor
         self._peers = links
         self._timers = timers
         self._budget = budget
         self._rng = rng
         self._metrics = counters
-        self._flights: dict[str, Flight] = {}
+        self._flights: dict[str, PendingRequest] = {}
         self._open = 0
 
     @property
@@ -135,11 +134,13 @@
         """Number of callers' requests under way."""
         return self._open
 
-    def knows(self, service: str) -> bool:
+    def has_service(self, service: str) -> bool:
         """Returns whether a service exists."""
         return self._core.view.founded(service) is not None
 
-    def begin(self, request: Request, done: Done) -> Flight:
+    def submit(
+        self, request: CallerRequest, done: DoneCallback
+    ) -> PendingRequest:
         """Serves a request.
 
         Args:
@@ -151,25 +152,25 @@
         """
         founded = self._core.view.founded(request.service)
         slot = slots.slot_of(types.Key(request.key), founded.slots)
-        flight = Flight(request, slot, self._timers.now, done)
+        flight = PendingRequest(request, slot, self._timers.now, done)
         self._open += 1
         self._budget.deposit()
-        flight.timer = self._timers.after(
+        flight.deadline_timer = self._timers.after(
             request.timeout + _DEADLINE_GRACE_S,
             lambda: self._deadline(flight),
         )
         self._try(flight)
         return flight
 
-    def cancel(self, flight: Flight) -> None:
+    def cancel(self, flight: PendingRequest) -> None:
         """Gives a flight up: its caller went away."""
-        if flight.done is None:
+        if flight.on_done is None:
             return
-        flight.done = _ignore
+        flight.on_done = _ignore
         self._cancel_leg(flight)
         self._finish(flight, self._unfinished(flight))
 
-    def answered(self, outcome: messages.Outcome) -> None:
+    def handle_reply(self, outcome: messages.Outcome) -> None:
         """Takes an owner's answer in; one that comes late is dropped."""
         flight = self._flights.pop(outcome.leg, None)
         if flight is None:
@@ -188,7 +189,7 @@
             reason = outcome.reason or types.Reason.NO_ANSWER
             self._refused(flight, verdicts.Refusal(outcome.verdict, reason))
 
-    def lost(self, incarnation: str) -> None:
+    def fail_owner(self, incarnation: str) -> None:
         """Notes that an owner's lease is over; its answers are not due."""
         for flight in list(self._flights.values()):
             if flight.route and flight.route.owner == incarnation:
@@ -201,8 +202,8 @@
                     ),
                 )
 
-    def _try(self, flight: Flight) -> None:
-        if flight.done is None:
+    def _try(self, flight: PendingRequest) -> None:
+        if flight.on_done is None:
             return
         route = self._core.routes.find(flight.request.service, flight.slot)
         flight.route = route
@@ -214,7 +215,7 @@
         flight.leg = forward.leg
         self._flights[forward.leg] = flight
         if route.owner == self._core.incarnation:
-            self._owner.take(forward, self.answered)
+            self._owner.submit(forward, self.handle_reply)
             return
         record = self._core.view.lease(route.owner)
         sent = record is not None and self._peers.send(
@@ -225,12 +226,14 @@
             flight.leg = ""
             self._refuse_here(flight, types.Reason.PEER_UNREACHABLE)
 
-    def _forward(self, flight: Flight, route: routes.Route) -> messages.Forward:
+    def _forward(
+        self, flight: PendingRequest, route: routes.Route
+    ) -> messages.Forward:
         request = flight.request
         return messages.Forward(
             owner=route.owner,
             leg=f"{self._rng.getrandbits(64):016x}",
-            request=request.request,
+            request=request.request_id,
             service=request.service,
             key=request.key,
             slot=flight.slot,
@@ -245,13 +248,17 @@
             urgent=request.urgent,
         )
 
-    def _refuse_here(self, flight: Flight, reason: types.Reason) -> None:
+    def _refuse_here(
+        self, flight: PendingRequest, reason: types.Reason
+    ) -> None:
         self._refused(flight, verdicts.Refusal(types.Verdict.NOT_RUN, reason))
 
-    def _refused(self, flight: Flight, refusal: verdicts.Refusal) -> None:
+    def _refused(
+        self, flight: PendingRequest, refusal: verdicts.Refusal
+    ) -> None:
         if refusal.reason is types.Reason.DEADLINE_PASSED:
             # What took up the time says more than that it is up.
-            reason = flight.last.reason if flight.attempts > 1 else None
+            reason = flight.last_refusal.reason if flight.attempts > 1 else None
             refusal = verdicts.Refusal(
                 refusal.verdict, reason or refusal.reason
             )
@@ -260,7 +267,7 @@
             refusal = verdicts.Refusal(
                 types.Verdict.MAY_HAVE_RUN, refusal.reason
             )
-        flight.last = refusal
+        flight.last_refusal = refusal
         wait = flight.backoff * (0.5 + self._rng.random())
         late = self._timers.now + wait >= flight.deadline
         if late or not self._may_retry(flight, refusal):
@@ -269,7 +276,9 @@
         flight.backoff = min(flight.backoff * 2, _BACKOFF_MAX_S)
         self._timers.after(wait, functools.partial(self._try, flight))
 
-    def _may_retry(self, flight: Flight, refusal: verdicts.Refusal) -> bool:
+    def _may_retry(
+        self, flight: PendingRequest, refusal: verdicts.Refusal
+    ) -> bool:
         if refusal.reason not in _PASSING:
             return False
         if refusal.may_have_run and not flight.request.idempotent:
@@ -277,18 +286,18 @@
         # Waiting for an owner costs nobody anything.
         return refusal.reason in _LOCAL or self._budget.withdraw()
 
-    def _deadline(self, flight: Flight) -> None:
-        if flight.done is None:
+    def _deadline(self, flight: PendingRequest) -> None:
+        if flight.on_done is None:
             return
         self._cancel_leg(flight)
         self._finish(flight, self._unfinished(flight))
 
-    def _unfinished(self, flight: Flight) -> verdicts.Result:
+    def _unfinished(self, flight: PendingRequest) -> verdicts.Result:
         if flight.leg:
             return verdicts.may_have_run(types.Reason.NO_ANSWER)
-        return result.Failure(flight.last)
+        return result.Failure(flight.last_refusal)
 
-    def _cancel_leg(self, flight: Flight) -> None:
+    def _cancel_leg(self, flight: PendingRequest) -> None:
         if not flight.leg or flight.route is None:
             return
         owner = flight.route.owner
@@ -303,28 +312,28 @@
                 messages.Cancel(flight.leg),
             )
 
-    def _finish(self, flight: Flight, outcome: verdicts.Result) -> None:
-        done = flight.done
+    def _finish(self, flight: PendingRequest, outcome: verdicts.Result) -> None:
+        done = flight.on_done
         if done is None:
             return
-        flight.done = None
-        flight.timer.cancel()
+        flight.on_done = None
+        flight.deadline_timer.cancel()
         if flight.leg:
             self._flights.pop(flight.leg, None)
         self._open -= 1
         self._record(flight, outcome)
         done(outcome)
 
-    def _record(self, flight: Flight, outcome: verdicts.Result) -> None:
+    def _record(self, flight: PendingRequest, outcome: verdicts.Result) -> None:
         refusal = outcome.swap().value_or(None)
         verdict = refusal.verdict if refusal else types.Verdict.ANSWERED
         reason = refusal.reason.value if refusal else ""
-        elapsed = self._timers.now - flight.begun
+        elapsed = self._timers.now - flight.started_at
         self._metrics.request(verdict.value, reason, elapsed)
         route = flight.route
         logs.event(
             "request",
-            request=flight.request.request,
+            request=flight.request.request_id,
             service=flight.request.service,
             key=flight.request.key,
             slot=flight.slot,
--- a/tamarackgap/requests/granting.py
+++ b/tamarackgap/requests/granting.py
@@ -3,7 +3,7 @@
 from tamarackgap.network import scheduler
 from tamarackgap.ownership import ownership
 from tamarackgap.placement import slots
-from tamarackgap.requests import target
+from tamarackgap.requests import targetclient
 
 # A grant is renewed when the lease has grown by this share of its length.
 _STEP_SHARE = 0.2
@@ -15,7 +15,7 @@
     def __init__(
         self,
         core: ownership.Ownership,
-        beside: target.Target,
+        target: targetclient.TargetClient,
         lease: float,
         clock: scheduler.Clock,
     ) -> None:
@@ -23,12 +23,12 @@
 
         Args:
             core: Holds the lease and the slots.
-            beside: The target.
+            target: The target.
             lease: Length of a lease, seconds.
             clock: The VM's monotonic clock, seconds.
         """
         self._core = core
-        self._target = beside
+        self._target = target
         self._step = lease * _STEP_SHARE
         self._clock = clock
         self._until = 0.0
@@ -47,9 +47,9 @@
             slot: slots.Holding(held.fence)
             for slot, held in self._core.owned.items()
         }
-        grant = target.Grant(
+        grant = targetclient.Grant(
             self._core.incarnation, until, slots.compress(holdings)
         )
-        if self._target.grant(grant):
+        if self._target.send_grant(grant):
             self._until = until
             self._version = version
--- a/tamarackgap/requests/fitness.py
+++ b/tamarackgap/requests/health.py
@@ -4,10 +4,10 @@
 _FIRST_REST_S = 2.0
 _LONGEST_REST_S = 60.0
 # A run that was given less time says nothing of the target.
-FAIR_TRIAL_S = 0.3
+MIN_COUNTED_RUN_S = 0.3
 
 
-class Fitness:
+class PassiveHealthCheck:
     """Counts runs without an answer, and rests a target that gives none.
 
     Health reports may lie both ways, so they do not count here.
@@ -23,16 +23,16 @@
         """Runs in a row without an answer."""
         return self._failures
 
-    def is_fit(self, now: float) -> bool:
+    def is_healthy(self, now: float) -> bool:
         """Returns whether the target should own slots."""
         return now >= self._rests_until
 
-    def served(self) -> None:
+    def record_answer(self) -> None:
         """Notes an answer."""
         self._failures = 0
         self._rest = _FIRST_REST_S
 
-    def failed(self, given: float, now: float) -> bool:
+    def record_failure(self, given: float, now: float) -> bool:
         """Notes a run without an answer.
 
         Args:
@@ -42,10 +42,10 @@
         Returns:
             Whether the target was found unfit just now.
         """
-        if given < FAIR_TRIAL_S:
+        if given < MIN_COUNTED_RUN_S:
             return False
         self._failures += 1
-        if self._failures < _FAILURES_IN_A_ROW or not self.is_fit(now):
+        if self._failures < _FAILURES_IN_A_ROW or not self.is_healthy(now):
             return False
         self._rests_until = now + self._rest
         self._rest = min(self._rest * 2, _LONGEST_REST_S)
--- a/tamarackgap/requests/limiter.py
+++ b/tamarackgap/requests/limiter.py
@@ -12,7 +12,7 @@
 _RAMP_START = 0.25
 
 
-class Waiting(msgspec.Struct, frozen=True):
+class QueuedRequest(msgspec.Struct, frozen=True):
     """A request that waits for one of the target's slots.
 
     Attributes:
@@ -20,14 +20,14 @@
         start: Called when its turn comes.
         shed: Called if its turn can't come in time.
         urgent: Whether it goes before others.
-        alone: Whether nothing else may run beside it.
+        exclusive: Whether nothing else may run beside it.
     """
 
     deadline: float
     start: Callable[[], None]
     shed: Callable[[], None]
     urgent: bool = True
-    alone: bool = False
+    exclusive: bool = False
 
 
 class Limiter:
@@ -44,9 +44,9 @@
         self._share = 1.0
         self._warm_at = 0.0
         self._is_alone = False
-        self._alone: collections.deque[Waiting] = collections.deque()
-        self._urgent: collections.deque[Waiting] = collections.deque()
-        self._patient: collections.deque[Waiting] = collections.deque()
+        self._alone: collections.deque[QueuedRequest] = collections.deque()
+        self._urgent: collections.deque[QueuedRequest] = collections.deque()
+        self._patient: collections.deque[QueuedRequest] = collections.deque()
 
     @property
     def in_progress(self) -> int:
@@ -54,12 +54,12 @@
         return self._in_progress
 
     @property
-    def waiting(self) -> int:
+    def queued(self) -> int:
         """Number of requests that wait."""
         return sum(len(queue) for queue in self._queues)
 
     @property
-    def _queues(self) -> tuple[collections.deque[Waiting], ...]:
+    def _queues(self) -> tuple[collections.deque[QueuedRequest], ...]:
         return (self._alone, self._urgent, self._patient)
 
     def limit(self, now: float) -> int:
@@ -72,7 +72,7 @@
             share = min(share, 1 - (1 - _RAMP_START) * cold)
         return max(1, int(self._most * share))
 
-    def resize(self, most: int, queue_limit: int, now: float) -> None:
+    def set_limits(self, most: int, queue_limit: int, now: float) -> None:
         """Sets the target's own limit, and the most requests that wait.
 
         A target that was not there before starts cold.
@@ -83,20 +83,20 @@
         self._most = most
         self._queue_limit = queue_limit
 
-    def refused(self) -> None:
+    def record_overload(self) -> None:
         """Notes that the target had too much to do."""
         self._share = max(_LEAST_SHARE, self._share * _DECREASE)
 
-    def served(self) -> None:
+    def record_answer(self) -> None:
         """Notes that the target coped."""
         if self._most:
             self._share = min(1.0, self._share + 1 / (self._most * 10))
 
-    def admit(self, waiting: Waiting, now: float) -> bool:
+    def admit(self, waiting: QueuedRequest, now: float) -> bool:
         """Starts a request, queues it, or returns False for a full queue."""
         self._shed_late(now)
-        full = self.waiting >= self._queue_limit
-        must_wait = self.waiting or not self._may_start(waiting, now)
+        full = self.queued >= self._queue_limit
+        must_wait = self.queued or not self._may_start(waiting, now)
         if must_wait and full and not self._make_room(waiting):
             return False
         self._queue_of(waiting).append(waiting)
@@ -110,26 +110,28 @@
         self._shed_late(now)
         self._pump(now)
 
-    def pump(self, now: float) -> None:
+    def start_queued(self, now: float) -> None:
         """Starts waiting requests while slots are free."""
         self._shed_late(now)
         self._pump(now)
 
-    def flush(self) -> None:
+    def shed_all(self) -> None:
         """Sheds all that wait."""
         for queue in self._queues:
             while queue:
                 queue.popleft().shed()
 
-    def _queue_of(self, waiting: Waiting) -> collections.deque[Waiting]:
-        if waiting.alone:
+    def _queue_of(
+        self, waiting: QueuedRequest
+    ) -> collections.deque[QueuedRequest]:
+        if waiting.exclusive:
             return self._alone
         return self._urgent if waiting.urgent else self._patient
 
-    def _may_start(self, waiting: Waiting, now: float) -> bool:
+    def _may_start(self, waiting: QueuedRequest, now: float) -> bool:
         if self._is_alone or self._in_progress >= self.limit(now):
             return False
-        return not waiting.alone or not self._in_progress
+        return not waiting.exclusive or not self._in_progress
 
     def _pump(self, now: float) -> None:
         while queue := next((q for q in self._queues if q), None):
@@ -138,11 +140,11 @@
                 return
             waiting = queue.popleft()
             self._in_progress += 1
-            self._is_alone = waiting.alone
+            self._is_alone = waiting.exclusive
             waiting.start()
 
-    def _make_room(self, waiting: Waiting) -> bool:
-        if not (waiting.urgent or waiting.alone) or not self._patient:
+    def _make_room(self, waiting: QueuedRequest) -> bool:
+        if not (waiting.urgent or waiting.exclusive) or not self._patient:
             return False
         self._patient.pop().shed()
         return True
--- a/tamarackgap/requests/pages.py
+++ b/tamarackgap/requests/pages.py
@@ -6,8 +6,7 @@
 from tamarackgap.network import scheduler
 from tamarackgap.ownership import ownership, reports
 from tamarackgap.placement import heat, slots
-from tamarackgap.requests import entry, target, web
-from tamarackgap.requests import owner as owner_lib
+from tamarackgap.requests import executor, forwarder, targetclient, web
 
 
 class Status(msgspec.Struct, frozen=True):
@@ -46,7 +45,7 @@
     witnesses: tuple[str, ...]
     accepting: bool
     draining: bool
-    target: target.Announcement | None
+    target: targetclient.Announcement | None
     in_progress: int
     queued: int
     in_flight: int
@@ -58,16 +57,18 @@
 
 def build(
     core: ownership.Ownership,
-    beside: target.Target,
-    own: owner_lib.Owner,
-    front: entry.Entry,
+    target: targetclient.TargetClient,
+    request_executor: executor.Executor,
+    request_forwarder: forwarder.Forwarder,
     clock: scheduler.Clock,
 ) -> dict[str, web.Page]:
     """Returns the pages by path; `clock` is monotonic, in seconds."""
 
     def status(query: dict[str, str]) -> bytes:
         del query
-        return msgspec.json.encode(_status(core, beside, own, front, clock()))
+        return msgspec.json.encode(
+            _status(core, target, request_executor, request_forwarder, clock())
+        )
 
     def owner_rows(query: dict[str, str]) -> bytes:
         return msgspec.json.encode(reports.owners(core, query.get("service")))
@@ -84,9 +85,9 @@
 
 def _status(
     core: ownership.Ownership,
-    beside: target.Target,
-    own: owner_lib.Owner,
-    front: entry.Entry,
+    target: targetclient.TargetClient,
+    request_executor: executor.Executor,
+    request_forwarder: forwarder.Forwarder,
     now: float,
 ) -> Status:
     left = core.lease_until() - now
@@ -103,11 +104,11 @@
         witnesses=core.grants().witnesses,
         accepting=core.accepting,
         draining=core.draining,
-        target=beside.announcement,
-        in_progress=own.in_progress,
-        queued=own.waiting,
-        in_flight=front.in_flight,
-        hot_keys=own.hottest(),
+        target=target.announcement,
+        in_progress=request_executor.in_progress,
+        queued=request_executor.queued,
+        in_flight=request_forwarder.in_flight,
+        hot_keys=request_executor.hot_keys(),
         table_revision=core.view.cursor,
         route_version=core.routes.version,
         pending=pending.kind.value if pending else "",
--- a/tamarackgap/requests/callers.py
+++ b/tamarackgap/requests/parsing.py
@@ -8,10 +8,10 @@
 from returns import result
 
 from tamarackgap import types
-from tamarackgap.requests import entry
+from tamarackgap.requests import forwarder
 from tamarackgap.settings import config
 
-PREFIX = "/v1/"
+PATH_PREFIX = "/v1/"
 _LONGEST_ID = 128
 _LONGEST_DEADLINE_MS = 600_000
 
@@ -32,17 +32,17 @@
     detail: str = ""
 
 
-def parse(
+def parse_request(
     request: wrappers.Request, body: bytes, settings: config.Config
-) -> result.Result[entry.Request, Problem]:
+) -> result.Result[forwarder.CallerRequest, Problem]:
     """Returns the caller's request, or what is wrong with it."""
     now_ms = int(time.time() * 1000)
     headers = request.headers
-    request_id = headers.get("X-Request-Id") or entry.new_request_id(now_ms)
+    request_id = headers.get("X-Request-Id") or forwarder.new_request_id(now_ms)
 
     def bad(
         detail: str, reason: types.Reason = types.Reason.BAD_REQUEST
-    ) -> result.Result[entry.Request, Problem]:
+    ) -> result.Result[forwarder.CallerRequest, Problem]:
         verdict = types.Verdict.NOT_RUN.value
         return result.Failure(
             Problem(verdict, reason.value, request_id, detail)
@@ -51,8 +51,8 @@
     if len(request_id) > _LONGEST_ID or not request_id.isprintable():
         request_id = "?"
         return bad("X-Request-Id: expected at most 128 printable characters")
-    service, _, rest = request.path[len(PREFIX) :].partition("/")
-    query = query_of(request.qs or "")
+    service, _, rest = request.path[len(PATH_PREFIX) :].partition("/")
+    query = parse_query(request.qs or "")
     if query is None:
         return bad("key: expected UTF-8")
     key = query.pop("key", "")
@@ -81,8 +81,8 @@
         return bad("X-Idempotent: expected true or false")
     left = urllib.parse.urlencode(query)
     return result.Success(
-        entry.Request(
-            request=request_id,
+        forwarder.CallerRequest(
+            request_id=request_id,
             service=service,
             key=key,
             method=request.method,
@@ -97,7 +97,7 @@
     )
 
 
-def query_of(text: str) -> dict[str, str] | None:
+def parse_query(text: str) -> dict[str, str] | None:
     """Returns a query's parts, or None if it is not UTF-8."""
     try:
         pairs = urllib.parse.parse_qsl(
--- a/tamarackgap/requests/suspects.py
+++ b/tamarackgap/requests/quarantine.py
@@ -10,18 +10,18 @@
 from tamarackgap.peers import messages
 
 
-class Standing(enum.Enum):
+class QuarantineState(enum.Enum):
     """How a request's content is to be treated."""
 
     CLEAR = "clear"
     # It was there when a target crashed: it runs again only on its own.
     SUSPECTED = "suspected"
     # It crashed a target on its own: it does not run again.
-    CONVICTED = "convicted"
+    BLOCKED = "convicted"
 
 
 class _Entry(msgspec.Struct):
-    standing: Standing
+    standing: QuarantineState
     until: float
 
 
@@ -36,7 +36,7 @@
     return found.hexdigest()
 
 
-def fingerprint(forward: messages.Forward) -> str:
+def fingerprint_of(forward: messages.Forward) -> str:
     """Returns a hash of what a request asks for, whatever its id."""
     return digest(
         (forward.service, forward.method, forward.path, forward.key),
@@ -44,17 +44,17 @@
     )
 
 
-class Suspects:
+class Quarantine:
     """Contents that are not clear, for a time, and at most so many."""
 
-    def __init__(self, kept: float, limit: int) -> None:
+    def __init__(self, duration: float, limit: int) -> None:
         """Creates an empty set.
 
         Args:
-            kept: How long a standing lasts, seconds.
+            duration: How long a standing lasts, seconds.
             limit: Most contents kept; the oldest go first.
         """
-        self._kept = kept
+        self._kept = duration
         self._limit = limit
         self._entries: collections.OrderedDict[str, _Entry] = (
             collections.OrderedDict()
@@ -63,23 +63,23 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def standing(self, content: str, now: float) -> Standing:
+    def state(self, content: str, now: float) -> QuarantineState:
         """Returns how a content is to be treated."""
         entry = self._entries.get(content)
         if entry is None or entry.until <= now:
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         return entry.standing
 
-    def note(self, content: str, standing: Standing, now: float) -> None:
+    def add(self, content: str, standing: QuarantineState, now: float) -> None:
         """Takes a standing in; a conviction is never eased."""
-        known = self.standing(content, now)
-        if known is Standing.CONVICTED:
+        known = self.state(content, now)
+        if known is QuarantineState.BLOCKED:
             standing = known
         self._entries[content] = _Entry(standing, now + self._kept)
         self._entries.move_to_end(content)
         while len(self._entries) > self._limit:
             self._entries.popitem(last=False)
 
-    def clear(self, content: str) -> None:
+    def remove(self, content: str) -> None:
         """Forgets a content: it ran on its own and did no harm."""
         self._entries.pop(content, None)
--- a/tamarackgap/requests/retries.py
+++ b/tamarackgap/requests/retries.py
@@ -37,7 +37,7 @@
         return True
 
 
-class ServiceBudgets:
+class ServiceRetryBudgets:
     """One daemon's part of a budget that all daemons share.
 
     Each spends from its own requests and its own part of the fixed amount,
@@ -63,13 +63,13 @@
         self._extra = extra / 2
         self._budgets.clear()
 
-    def share(self, daemons: int) -> None:
+    def set_daemon_count(self, daemons: int) -> None:
         """Sets among how many daemons the fixed amount is divided."""
         self._burst = max(1.0, self._extra / max(1, daemons))
         for budget in self._budgets.values():
             budget.resize(self._burst)
 
-    def of(self, service: str) -> RetryBudget:
+    def for_service(self, service: str) -> RetryBudget:
         """Returns the budget of a service."""
         budget = self._budgets.get(service)
         if budget is None:
--- a/tamarackgap/requests/target.py
+++ b/tamarackgap/requests/targetclient.py
@@ -56,7 +56,7 @@
     runs: tuple[slots.Run, ...]
 
 
-class Order(msgspec.Struct, frozen=True):
+class TargetRequest(msgspec.Struct, frozen=True):
     """A request to hand to the target.
 
     Attributes:
@@ -71,10 +71,10 @@
     deadline: float
 
 
-Done = Callable[[verdicts.Result], None]
+DoneCallback = Callable[[verdicts.Result], None]
 
 
-def problem(announcement: Announcement, service: str) -> str | None:
+def announcement_error(announcement: Announcement, service: str) -> str | None:
     """Returns what is wrong with an announcement, or None."""
     if announcement.service != service:
         return f"service {announcement.service}: expected {service}"
@@ -85,29 +85,29 @@
     return None
 
 
-class Target:
+class TargetClient:
     """The link to the target."""
 
     def __init__(
         self,
         http: httpclient.HttpClient,
         clock: scheduler.Clock,
-        silence: float,
-        largest_answer: int,
+        max_announcement_age: float,
+        max_answer_bytes: int,
     ) -> None:
         """Creates a link to a target that has not announced itself.
 
         Args:
             http: Carries the requests.
             clock: The VM's monotonic clock; the target reads the same one.
-            silence: Age of an announcement at which the target counts as
-                absent, seconds.
-            largest_answer: Largest answer body, bytes.
+            max_announcement_age: Age of an announcement at which the
+                target counts as absent, seconds.
+            max_answer_bytes: Largest answer body, bytes.
         """
         self._http = http
         self._clock = clock
-        self._silence = silence
-        self._largest_answer = largest_answer
+        self._silence = max_announcement_age
+        self._largest_answer = max_answer_bytes
         self._announcement: Announcement | None = None
         self._heard = float("-inf")
         self._granting = False
@@ -139,7 +139,7 @@
         known = self.announcement
         return known is not None and known.checks_grants
 
-    def announced(self, announcement: Announcement) -> None:
+    def record_announcement(self, announcement: Announcement) -> None:
         """Takes an announcement in."""
         before = self._announcement
         if before != announcement:
@@ -154,18 +154,18 @@
         self._announcement = announcement
         self._heard = self._clock()
 
-    def served(self) -> None:
+    def record_answer(self) -> None:
         """Notes an answer: a target that serves is there, if it is silent."""
         if self._announcement is not None:
             self._heard = self._clock()
 
-    def lost(self) -> None:
+    def mark_unreachable(self) -> None:
         """Notes that the target can't be reached."""
         if self._heard != float("-inf"):
             logs.event("target_unreachable")
         self._heard = float("-inf")
 
-    def grant(self, grant: Grant) -> bool:
+    def send_grant(self, grant: Grant) -> bool:
         """Renews the target's grant; False if the last is on its way."""
         known = self.announcement
         if known is None or not known.checks_grants or self._granting:
@@ -190,7 +190,9 @@
         )
         return True
 
-    def run(self, order: Order, done: Done) -> Callable[[], None]:
+    def run(
+        self, order: TargetRequest, done: DoneCallback
+    ) -> Callable[[], None]:
         """Hands a request to the target.
 
         Args:
@@ -218,7 +220,7 @@
         return cancel
 
     def _request(
-        self, known: Announcement, order: Order, left: float
+        self, known: Announcement, order: TargetRequest, left: float
     ) -> httpclient.Request:
         forward = order.forward
         headers = {
@@ -258,7 +260,7 @@
 
     def _judge_failure(self, failure: exchanges.Failure) -> verdicts.Result:
         if failure.cause is exchanges.Cause.UNREACHABLE:
-            self.lost()
+            self.mark_unreachable()
         if not failure.sent:
             return verdicts.not_run(types.Reason.TARGET_ABSENT)
         return verdicts.may_have_run(_REASONS[failure.cause])
--- a/tamarackgap/requests/web.py
+++ b/tamarackgap/requests/web.py
@@ -11,7 +11,7 @@
 
 from tamarackgap import logs, types, verdicts
 from tamarackgap.network import scheduler
-from tamarackgap.requests import callers, entry, target
+from tamarackgap.requests import forwarder, parsing, targetclient
 from tamarackgap.settings import config
 
 _HEAD_BYTES = 65_536
@@ -50,29 +50,30 @@
         self,
         settings: config.Config,
         timers: scheduler.Scheduler,
-        front: entry.Entry,
-        announced: Callable[[target.Announcement], str | None],
+        request_forwarder: forwarder.Forwarder,
+        on_announcement: Callable[[targetclient.Announcement], str | None],
         pages: dict[str, Page],
-        metrics_page: Callable[[str], tuple[bytes, dict[str, str]]],
+        render_metrics: Callable[[str], tuple[bytes, dict[str, str]]],
     ) -> None:
         """Creates the handlers.
 
         Args:
             settings: Limits of requests.
             timers: The loop's scheduler.
-            front: Serves callers' requests.
-            announced: Takes an announcement; returns what is wrong with it.
+            request_forwarder: Serves callers' requests.
+            on_announcement: Takes an announcement; returns what is wrong
+                with it.
             pages: Operators' pages by path.
-            metrics_page: Renders metrics for an Accept header.
+            render_metrics: Renders metrics for an Accept header.
         """
         super().__init__()
         self._settings = settings
         self._timers = timers
-        self._entry = front
-        self._announced = announced
+        self._entry = request_forwarder
+        self._announced = on_announcement
         self._pages = pages
-        self._metrics_page = metrics_page
-        self._flights: dict[object, tuple[entry.Flight, ...]] = {}
+        self._metrics_page = render_metrics
+        self._flights: dict[object, tuple[forwarder.PendingRequest, ...]] = {}
         self._parts: dict[object, _Part] = {}
         self.draining = False
 
@@ -151,7 +152,7 @@
         self._forget_part(request.sock)
         body = request.body.read()
         path = request.path
-        if path.startswith(callers.PREFIX):
+        if path.startswith(parsing.PATH_PREFIX):
             self._serve(request, response, body)
         elif path == "/announce" and request.method == "POST":
             self._announce(response, body)
@@ -167,14 +168,14 @@
             self._refuse(
                 response,
                 404,
-                callers.Problem("not-run", "unknown-path", "", path),
+                parsing.Problem("not-run", "unknown-path", "", path),
             )
         return True
 
     def _page(
         self, request: wrappers.Request, response: wrappers.Response
     ) -> None:
-        query = callers.query_of(request.qs or "") or {}
+        query = parsing.parse_query(request.qs or "") or {}
         try:
             text = self._pages[request.path](query)
         except (KeyError, ValueError) as error:
@@ -182,14 +183,16 @@
             self._refuse(
                 response,
                 400,
-                callers.Problem("not-run", "bad-request", "", detail),
+                parsing.Problem("not-run", "bad-request", "", detail),
             )
             return
         self._respond(response, 200, "application/json", text)
 
     def _announce(self, response: wrappers.Response, body: bytes) -> None:
         try:
-            announcement = msgspec.json.decode(body, type=target.Announcement)
+            announcement = msgspec.json.decode(
+                body, type=targetclient.Announcement
+            )
         except msgspec.MsgspecError as error:
             wrong = str(error)
         else:
@@ -199,7 +202,7 @@
             self._refuse(
                 response,
                 400,
-                callers.Problem("not-run", "bad-request", "", wrong),
+                parsing.Problem("not-run", "bad-request", "", wrong),
             )
             return
         self._respond(response, 200, "application/json", b"{}")
@@ -216,8 +219,8 @@
         if self.draining:
             self._refuse_reason(response, types.Reason.DRAINING)
             return
-        match callers.parse(request, body, self._settings):
-            case result.Failure(callers.Problem() as problem):
+        match parsing.parse_request(request, body, self._settings):
+            case result.Failure(parsing.Problem() as problem):
                 reason = types.Reason(problem.reason)
                 logs.event(
                     "request_refused",
@@ -226,12 +229,12 @@
                     detail=problem.detail,
                 )
                 self._refuse(response, _STATUS[reason], problem)
-            case result.Success(entry.Request() as parsed):
-                if not self._entry.knows(parsed.service):
+            case result.Success(forwarder.CallerRequest() as parsed):
+                if not self._entry.has_service(parsed.service):
                     self._refuse_reason(
                         response,
                         types.Reason.UNKNOWN_SERVICE,
-                        parsed.request,
+                        parsed.request_id,
                     )
                     return
                 self._begin(request.sock, response, parsed)
@@ -240,23 +243,23 @@
         self,
         sock: object,
         response: wrappers.Response,
-        parsed: entry.Request,
+        parsed: forwarder.CallerRequest,
     ) -> None:
         def done(outcome: verdicts.Result) -> None:
             self._flights.pop(sock, None)
             self._finish(response, parsed, outcome)
 
-        flight = self._entry.begin(parsed, done)
-        if flight.done is not None:
+        flight = self._entry.submit(parsed, done)
+        if flight.on_done is not None:
             self._flights[sock] = (*self._flights.get(sock, ()), flight)
 
     def _finish(
         self,
         response: wrappers.Response,
-        parsed: entry.Request,
+        parsed: forwarder.CallerRequest,
         outcome: verdicts.Result,
     ) -> None:
-        response.headers["X-Request-Id"] = parsed.request
+        response.headers["X-Request-Id"] = parsed.request_id
         match outcome:
             case result.Success(verdicts.Answer() as answer):
                 response.headers["X-Verdict"] = types.Verdict.ANSWERED.value
@@ -266,10 +269,10 @@
             case result.Failure(verdicts.Refusal() as refusal):
                 status = _NO_ANSWER if refusal.may_have_run else _UNAVAILABLE
                 status = _STATUS.get(refusal.reason, status)
-                problem = callers.Problem(
+                problem = parsing.Problem(
                     refusal.verdict.value,
                     refusal.reason.value,
-                    parsed.request,
+                    parsed.request_id,
                 )
                 self._refuse(response, status, problem)
 
@@ -279,7 +282,7 @@
         reason: types.Reason,
         request: str = "",
     ) -> None:
-        problem = callers.Problem(
+        problem = parsing.Problem(
             types.Verdict.NOT_RUN.value, reason.value, request
         )
         logs.event("request_refused", reason=reason.value, request=request)
@@ -293,11 +296,11 @@
         detail: str,
     ) -> None:
         verdict = types.Verdict.NOT_RUN.value
-        problem = callers.Problem(verdict, reason, "", detail)
+        problem = parsing.Problem(verdict, reason, "", detail)
         self._refuse(response, status, problem)
 
     def _refuse(
-        self, response: wrappers.Response, status: int, problem: callers.Problem
+        self, response: wrappers.Response, status: int, problem: parsing.Problem
     ) -> None:
         response.headers["X-Verdict"] = problem.verdict
         self._respond(
@@ -321,7 +324,7 @@
 
 def _closing(status: str, reason: types.Reason) -> bytes:
     """Returns a whole answer that ends its connection."""
-    problem = callers.Problem(types.Verdict.NOT_RUN.value, reason.value, "")
+    problem = parsing.Problem(types.Verdict.NOT_RUN.value, reason.value, "")
     body = msgspec.json.encode(problem)
     head = (
         f"HTTP/1.1 {status}\r\nContent-Type: application/json\r\n"
--- a/tamarackgap/traffic/crashes.py
+++ b/tamarackgap/traffic/crashes.py
@@ -11,7 +11,7 @@
 
 from tamarackgap import types
 from tamarackgap.peers import calls
-from tamarackgap.requests import suspects
+from tamarackgap.requests import quarantine
 
 # One crash may have any cause; a content that was there when two targets
 # crashed, one after the other, is not sent again.
@@ -35,7 +35,7 @@
 def fingerprint(service: types.ServiceName, call: calls.Call) -> str:
     """Returns a hash of what a call asks for, whatever its id."""
     position = str(call.position)
-    return suspects.digest(
+    return quarantine.digest(
         (service, call.origin, call.method, call.target, position), call.body
     )
 
--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -91,7 +91,7 @@
         beside: runner.Runner,
         links: peers.Peers,
         timers: scheduler.Scheduler,
-        budgets: retries.ServiceBudgets,
+        budgets: retries.ServiceRetryBudgets,
         rng: random.Random,
         crashed: crashes.Crashes,
         data_centre: str,
@@ -178,7 +178,7 @@
             done,
         )
         self._open += 1
-        self._budgets.of(flight.service).deposit()
+        self._budgets.for_service(flight.service).deposit()
         left = flight.deadline - self._timers.now
         flight.timer = self._timers.after(
             max(0.0, left), functools.partial(self._deadline, flight)
@@ -368,7 +368,7 @@
             flight.runs < flight.route.attempts
             and flight.deadline - now > flight.route.aim * _LEAST_AIM
             and self._targets.has_room(flight.service)
-            and self._budgets.of(flight.service).withdraw()
+            and self._budgets.for_service(flight.service).withdraw()
         )
 
     def _may_go_elsewhere(
@@ -380,7 +380,7 @@
         if reason in _ASKED:
             # It counts as a run: the target was asked.
             return flight.runs < flight.route.attempts and (
-                self._budgets.of(flight.service).withdraw()
+                self._budgets.for_service(flight.service).withdraw()
             )
         flight.runs -= 1
         return True
@@ -395,7 +395,7 @@
         return (
             reason is types.Reason.TARGET_REFUSED
             and flight.runs < flight.route.attempts
-            and self._budgets.of(flight.service).withdraw()
+            and self._budgets.for_service(flight.service).withdraw()
         )
 
     def _await_owner(self, flight: Flight, reason: types.Reason) -> None:
--- a/tests/requests/test_limiter.py
+++ b/tests/requests/test_limiter.py
@@ -4,12 +4,12 @@
 class Bench:
     def __init__(self, limit=2, queue=2):
         self.subject = limiter.Limiter()
-        self.subject.resize(limit, queue, -100.0)
+        self.subject.set_limits(limit, queue, -100.0)
         self.started = []
         self.shed = []
 
     def admit(self, name, urgent=True, deadline=100.0, now=0.0, alone=False):
-        waiting = limiter.Waiting(
+        waiting = limiter.QueuedRequest(
             deadline,
             lambda: self.started.append(name),
             lambda: self.shed.append(name),
@@ -61,8 +61,8 @@
     bench = Bench(limit=1)
     for name in "abc":
         bench.admit(name)
-    bench.subject.resize(3, 2, 0.0)
-    bench.subject.pump(0.0)
+    bench.subject.set_limits(3, 2, 0.0)
+    bench.subject.start_queued(0.0)
     assert bench.started == ["a", "b", "c"]
 
 
@@ -70,7 +70,7 @@
     bench = Bench(limit=1)
     for name in "abc":
         bench.admit(name)
-    bench.subject.flush()
+    bench.subject.shed_all()
     assert bench.shed == ["b", "c"]
 
 
@@ -89,17 +89,17 @@
 def test_a_target_that_refuses_gets_less_and_then_slowly_more():
     bench = Bench(limit=10)
     for _ in range(3):
-        bench.subject.refused()
+        bench.subject.record_overload()
     low = bench.subject.limit(0.0)
     assert low == 3
     for _ in range(200):
-        bench.subject.served()
+        bench.subject.record_answer()
     assert bench.subject.limit(0.0) == 10
 
 
 def test_a_target_that_has_just_come_starts_with_less():
     subject = limiter.Limiter()
-    subject.resize(12, 9, 100.0)
+    subject.set_limits(12, 9, 100.0)
     assert subject.limit(100.0) == 3
     assert 3 < subject.limit(102.5) < 12
     assert subject.limit(105.0) == 12
--- a/tests/requests/test_suspects.py
+++ b/tests/requests/test_quarantine.py
@@ -1,9 +1,9 @@
 import msgspec
 
 from tamarackgap.peers import messages
-from tamarackgap.requests import suspects
+from tamarackgap.requests import quarantine
 
-STANDING = suspects.Standing
+STANDING = quarantine.QuarantineState
 
 
 def forward(**changed):
@@ -28,14 +28,14 @@
 
 
 def test_a_content_is_the_same_under_another_id_and_owner():
-    first = suspects.fingerprint(forward())
+    first = quarantine.fingerprint_of(forward())
     again = forward(request="r2", leg="l2", owner="p", attempt=3)
-    assert suspects.fingerprint(again) == first
+    assert quarantine.fingerprint_of(again) == first
 
 
 def test_contents_that_differ_are_told_apart():
     found = {
-        suspects.fingerprint(forward(**changed))
+        quarantine.fingerprint_of(forward(**changed))
         for changed in (
             {},
             {"body": b"c"},
@@ -48,26 +48,26 @@
 
 
 def test_a_conviction_is_not_eased_but_ends():
-    subject = suspects.Suspects(kept=10.0, limit=5)
-    subject.note("x", STANDING.CONVICTED, 0.0)
-    subject.note("x", STANDING.SUSPECTED, 1.0)
-    assert subject.standing("x", 5.0) is STANDING.CONVICTED
-    assert subject.standing("x", 11.0) is STANDING.CLEAR
+    subject = quarantine.Quarantine(duration=10.0, limit=5)
+    subject.add("x", STANDING.BLOCKED, 0.0)
+    subject.add("x", STANDING.SUSPECTED, 1.0)
+    assert subject.state("x", 5.0) is STANDING.BLOCKED
+    assert subject.state("x", 11.0) is STANDING.CLEAR
 
 
 def test_a_suspect_that_did_no_harm_is_clear():
-    subject = suspects.Suspects(kept=10.0, limit=5)
-    subject.note("x", STANDING.SUSPECTED, 0.0)
-    subject.clear("x")
-    assert subject.standing("x", 0.0) is STANDING.CLEAR
+    subject = quarantine.Quarantine(duration=10.0, limit=5)
+    subject.add("x", STANDING.SUSPECTED, 0.0)
+    subject.remove("x")
+    assert subject.state("x", 0.0) is STANDING.CLEAR
 
 
 def test_only_so_many_are_kept():
-    subject = suspects.Suspects(kept=10.0, limit=3)
+    subject = quarantine.Quarantine(duration=10.0, limit=3)
     for name in "abcd":
-        subject.note(name, STANDING.SUSPECTED, 0.0)
+        subject.add(name, STANDING.SUSPECTED, 0.0)
     assert len(subject) == 3
-    assert subject.standing("a", 0.0) is STANDING.CLEAR
+    assert subject.state("a", 0.0) is STANDING.CLEAR
 
 
 def test_messages_about_crashes_survive_the_wire():
