--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -91,7 +91,7 @@
         local_runner: runner.Runner,
         links: transport.PeerTransport,
         timers: scheduler.Scheduler,
-        budgets: retries.ServiceBudgets,
+        budgets: retries.ServiceRetryBudgets,
         rng: random.Random,
         crash_history: crashes.CrashHistory,
         data_centre: str,
@@ -182,7 +182,7 @@
             done,
         )
         self._open += 1
-        self._budgets.of(flight.service).deposit()
+        self._budgets.for_service(flight.service).deposit()
         left = flight.deadline - self._timers.now
         flight.timer = self._timers.after(
             max(0.0, left), functools.partial(self._deadline, flight)
@@ -379,7 +379,7 @@
             and flight.deadline - now
             > flight.route.latency_objective * _LEAST_AIM
             and self._targets.has_room(flight.service)
-            and self._budgets.of(flight.service).withdraw()
+            and self._budgets.for_service(flight.service).withdraw()
         )
 
     def _may_go_elsewhere(
@@ -391,7 +391,7 @@
         if reason in _ASKED:
             # It counts as a run: the target was asked.
             return flight.runs < flight.route.max_attempts and (
-                self._budgets.of(flight.service).withdraw()
+                self._budgets.for_service(flight.service).withdraw()
             )
         flight.runs -= 1
         return True
@@ -406,7 +406,7 @@
         return (
             reason is types.Reason.TARGET_REFUSED
             and flight.runs < flight.route.max_attempts
-            and self._budgets.of(flight.service).withdraw()
+            and self._budgets.for_service(flight.service).withdraw()
         )
 
     def _await_owner(
