--- a/tamarackgap/platform/__main__.py
+++ b/tamarackgap/platform/__main__.py
@@ -8,7 +8,7 @@
 from returns import result
 
 from tamarackgap import logs
-from tamarackgap.platform import operators, requests, servers, store
+from tamarackgap.platform import operatorconfig, requests, servers, store
 from tamarackgap.processes import router
 from tamarackgap.settings import config
 from tamarackgap.traffic import boundary, runner
@@ -42,12 +42,14 @@
             decode_call=requests.decode_call,
             encode_answer=requests.encode_answer,
             codec=runner.Codec(
-                requests.encode_call, requests.belongs, requests.judge
+                requests.encode_call,
+                requests.is_answer_to,
+                requests.decode_answer,
             ),
             encode_order=servers.encode_order,
-            judge_order=servers.judge_order,
+            decode_order_answer=servers.decode_order_answer,
             decode_announcement=servers.decode_announcement,
-            decode_table=operators.decode,
+            decode_table=operatorconfig.decode,
         )
     )
     router.run(daemon)
--- a/tamarackgap/platform/requests.py
+++ b/tamarackgap/platform/requests.py
@@ -25,8 +25,8 @@
         b"expect",
         b"content-length",
         names.TIMEOUT_MS,
-        names.INSTANCE_WANTED,
-        names.ORIGIN,
+        names.TARGET_INSTANCE,
+        names.CALLER_SERVICE,
     }
 )
 _NOT_RUN_STATUS = frozenset({408, 429, 503})
@@ -55,13 +55,13 @@
     for name, value in incoming.headers:
         if name == b"host":
             host = value
-        elif name == names.REQUEST_ID:
+        elif name == names.ATTEMPT_ID:
             request = value
         elif name == names.TIMEOUT_MS:
             if not value.isdigit():
                 return result.Failure(f"timeout {value!r}: no whole number")
             timeout = int(value) / 1000
-        elif name == names.POSITION:
+        elif name == names.SHARD_KEY:
             if not value.isdigit() or int(value) >= slots.POSITIONS:
                 return result.Failure(f"key {value!r}: not in range")
             position = int(value)
@@ -89,8 +89,8 @@
         f"{call.method} {call.target} HTTP/1.1\r\n".encode("latin-1"),
         call.head,
         b"%b: %d\r\n" % (names.TIMEOUT_MS, left_ms),
-        b"%b: %b\r\n" % (names.INSTANCE_WANTED, instance.encode("latin-1")),
-        b"%b: %b\r\n" % (names.ORIGIN, call.origin.encode("latin-1")),
+        b"%b: %b\r\n" % (names.TARGET_INSTANCE, instance.encode("latin-1")),
+        b"%b: %b\r\n" % (names.CALLER_SERVICE, call.origin.encode("latin-1")),
         b"content-length: %d\r\n\r\n" % len(call.body),
         call.body,
     )
@@ -107,18 +107,18 @@
     return head.encode("ascii") + body
 
 
-def belongs(request: str, answer: httplink.Answer) -> bool:
+def is_answer_to(request: str, answer: httplink.Answer) -> bool:
     """Returns whether an answer is the one to a request.
 
     Servers echo the id, but for some refusals.
     """
-    echoed = answer.header(names.REQUEST_ID)
+    echoed = answer.header(names.ATTEMPT_ID)
     if echoed is None:
         return True
     return echoed == request.encode("latin-1")
 
 
-def judge(leg: int, answer: httplink.Answer) -> calls.Completion:
+def decode_answer(leg: int, answer: httplink.Answer) -> calls.Completion:
     """Returns what a server's answer means."""
     if answer.status == _MISDIRECTED:
         return calls.Completion(
@@ -129,7 +129,7 @@
         if _is_full(answer):
             reason = types.Reason.TARGET_FULL
         return calls.Completion(leg, types.Verdict.NOT_RUN, reason)
-    signed = answer.header(names.SIGNATURE) is not None
+    signed = answer.header(names.RESPONSE_SIGNATURE) is not None
     encoded = answer.header(b"content-encoding") is not None
     spoilt = encoded or (answer.status < 300 and not signed)
     # Only the header says that a request has not run; these statuses would
--- a/tamarackgap/platform/servers.py
+++ b/tamarackgap/platform/servers.py
@@ -91,7 +91,7 @@
     return requests.encode_json("POST", path, "target", body)
 
 
-def judge_order(answer: httplink.Answer) -> keyholds.Ordered:
+def decode_order_answer(answer: httplink.Answer) -> keyholds.Ordered:
     """Returns what a server's answer to an order means."""
     handover = answer.header(names.HANDOVER) or b""
     return keyholds.Ordered(
--- a/tamarackgap/platform/store.py
+++ b/tamarackgap/platform/store.py
@@ -13,7 +13,7 @@
 from tamarackgap.network import exchanges, httplink, scheduler, sockets
 from tamarackgap.ownership import effects
 from tamarackgap.placement import records
-from tamarackgap.platform import names, operators, requests
+from tamarackgap.platform import names, operatorconfig, requests
 from tamarackgap.traffic import routetable
 
 _IDLE_S = 20.0
@@ -105,7 +105,7 @@
         # Least difference seen between this clock and the store's, seconds.
         self._offset = float("inf")
 
-    def as_of(self, store_ms: int) -> float:
+    def to_local_clock(self, store_ms: int) -> float:
         """Returns a moment on this clock that is not after the store's.
 
         The fastest answer so far tells how the clocks lie at the most.
@@ -114,7 +114,7 @@
         self._offset = min(self._offset, self._timers.now - moment)
         return moment + self._offset
 
-    def counts(self) -> dict[str, int]:
+    def call_counts(self) -> dict[str, int]:
         """Returns how many calls were made, by kind and result."""
         return dict(self._counts)
 
@@ -123,12 +123,12 @@
         self._own_rows = _Watch(self, names.OWN_TABLE, _PAUSE_S, rows, failed)
         self._own_rows.begin()
 
-    def hurry(self) -> None:
+    def skip_pause(self) -> None:
         """Reads the system's own rows now, if they wait for a pause to end."""
         if self._own_rows is not None:
-            self._own_rows.hurry()
+            self._own_rows.skip_pause()
 
-    def pace(self, pause: float) -> None:
+    def set_pause(self, pause: float) -> None:
         """Sets how long changes of the system's own rows are gathered.
 
         Args:
@@ -138,7 +138,7 @@
         if self._own_rows is not None:
             self._own_rows.pause = min(pause, _POLL_S)
 
-    def watch_operators(
+    def watch_route_table(
         self, changed: Callable[[routetable.RouteTable], None]
     ) -> None:
         """Reads the operator's configuration, and each new version."""
@@ -148,7 +148,7 @@
             for row in found:
                 if row.key != names.OPERATOR_KEY or row.value is None:
                     continue
-                table = operators.decode(row.value.encode("utf-8"))
+                table = operatorconfig.decode(row.value.encode("utf-8"))
                 if table is not None:
                     changed(table)
 
@@ -253,7 +253,7 @@
         self._paused: scheduler.Timer | None = None
         self._hurried = False
 
-    def hurry(self) -> None:
+    def skip_pause(self) -> None:
         """Leaves out the pause after changes; one after a failure goes on."""
         if self._paused is None:
             self._hurried = True
@@ -339,7 +339,9 @@
         ]
         self._keys = present
         self._revision = page.ver
-        self._rows(found + gone, page.ver, self._store.as_of(page.now_ms))
+        self._rows(
+            found + gone, page.ver, self._store.to_local_clock(page.now_ms)
+        )
         self._again(0.0)
         return True
 
@@ -356,7 +358,7 @@
         found = _rows(page)
         self._keys |= {row.key for row in found if row.value is not None}
         self._revision = max(self._revision or 0, page.ver)
-        self._rows(found, page.ver, self._store.as_of(page.now_ms))
+        self._rows(found, page.ver, self._store.to_local_clock(page.now_ms))
         if found and not self._hurried:
             self._gathered = self.pause
         self._again(self._gathered)
--- a/tamarackgap/processes/daemon.py
+++ b/tamarackgap/processes/daemon.py
@@ -13,7 +13,7 @@
 from tamarackgap.network import httpclient, scheduler, sockets
 from tamarackgap.ownership import effects, ownership
 from tamarackgap.peers import messages, peers
-from tamarackgap.processes import protocol
+from tamarackgap.processes import ownershipsettings
 from tamarackgap.requests import (
     entry,
     granting,
@@ -69,7 +69,7 @@
             settings.requests_answer,
         )
         self._core = ownership.Ownership(
-            protocol.ownership_settings(settings),
+            ownershipsettings.from_config(settings),
             self._rng,
             self._busy,
             clock(),
--- a/tamarackgap/processes/protocol.py
+++ b/tamarackgap/processes/ownershipsettings.py
@@ -6,7 +6,7 @@
 _MILLIONTHS = 1_000_000
 
 
-def ownership_settings(settings: config.Config) -> effects.Settings:
+def from_config(settings: config.Config) -> effects.Settings:
     """Returns what the ownership protocol needs of the settings."""
     return effects.Settings(
         service=settings.daemon_service,
--- a/tamarackgap/processes/neighbours.py
+++ b/tamarackgap/processes/peersync.py
@@ -38,7 +38,7 @@
     )
 
 
-class Neighbours:
+class PeerSync:
     """The other daemons, as far as targets and route tables go."""
 
     def __init__(
@@ -51,7 +51,7 @@
         timers: scheduler.Scheduler,
         table: Callable[[], routetable.RouteTable | None],
     ) -> None:
-        """Creates neighbours that have been told nothing.
+        """Creates one whose peers have been told nothing.
 
         Args:
             core: Knows the daemons.
@@ -98,7 +98,7 @@
                 return False
         return True
 
-    def tell_status(self) -> None:
+    def broadcast_status(self) -> None:
         """Tells all of the target here."""
         status = self._status()
         own = self._core.incarnation
@@ -108,7 +108,7 @@
         }
         self._tell(status)
 
-    def tell_newcomers(self) -> None:
+    def update_new_daemons(self) -> None:
         """Tells daemons that have just joined what target is here.
 
         They have callers already, and know of no target but their own.
@@ -125,7 +125,7 @@
             if record.peer_address != own:
                 self._send(record.peer_address, status)
 
-    def tell_crash(self) -> None:
+    def broadcast_crash(self) -> None:
         """Tells all what the target here ran when it crashed."""
         ended = self._runner.take_crashed()
         if not ended:
@@ -138,13 +138,13 @@
         self._note_crash(news)
         self._tell(news)
 
-    def tell_cleared(self, content: str) -> None:
+    def broadcast_cleared(self, content: str) -> None:
         """Tells all that a content was answered after a crash."""
         self._tell(calls.ContentCleared(content))
 
     def _tell_regularly(self) -> None:
         self._interval = status_interval(len(self._told))
-        self.tell_status()
+        self.broadcast_status()
         self._timers.after(self._interval, self._tell_regularly)
 
     def _status(self) -> calls.Status:
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -17,7 +17,7 @@
 from tamarackgap.ownership import effects, ownership
 from tamarackgap.peers import calls, messages, peers
 from tamarackgap.placement import records
-from tamarackgap.processes import neighbours, protocol, routerpages
+from tamarackgap.processes import ownershipsettings, peersync, routerpages
 from tamarackgap.requests import retries
 from tamarackgap.settings import config
 from tamarackgap.traffic import (
@@ -107,17 +107,17 @@
         self._give_up_at = 0.0
         self._stopped = False
 
-    def begin(self, outside: boundary.Boundary) -> None:
+    def begin(self, platform_adapter: boundary.Boundary) -> None:
         """Binds all addresses, and starts.
 
         Args:
-            outside: How the world around the router is met.
+            platform_adapter: How the world around the router is met.
 
         Raises:
             OSError: If an address can't be bound.
         """
         settings = self._settings
-        self._outside = outside
+        self._adapter = platform_adapter
         self._core = ownership.Ownership(
             _ownership_settings(settings), self._rng, self._must_stay, now()
         )
@@ -159,7 +159,7 @@
             self._core,
             self._holds,
             self._link,
-            outside.codec,
+            platform_adapter.codec,
             self.timers,
             self._target_refused,
             self._crashes,
@@ -179,7 +179,7 @@
             settings.daemon_data_centre,
         )
         self._core.alive = self._entry.is_heard
-        self._neighbours = neighbours.Neighbours(
+        self._peer_sync = peersync.PeerSync(
             self._core,
             self._peers,
             self._runner,
@@ -188,7 +188,7 @@
             self.timers,
             lambda: self._table,
         )
-        self._runner.cleared = self._neighbours.tell_cleared
+        self._runner.cleared = self._peer_sync.broadcast_cleared
         self._beside = beside.Beside(
             self._service, settings.router_announce_interval / 1000, now()
         )
@@ -209,8 +209,8 @@
             peers=settings.daemon_peer_address,
         )
         signal.signal(signal.SIGHUP, self._signal_handler)
-        outside.store.watch(self._rows_read, self._read_failed)
-        outside.store.watch_operators(self._table_changed)
+        platform_adapter.store.watch(self._rows_read, self._read_failed)
+        platform_adapter.store.watch_route_table(self._table_changed)
         self.timers.every(_TICK_S, self._tick)
         self.timers.every(_SWEEP_S, self._runner.sweep)
         self.timers.every(_LOAD_S, self._tell_load)
@@ -221,7 +221,7 @@
     # Callers.
 
     def _serve(self, incoming: door.Incoming) -> None:
-        match self._outside.decode_call(incoming, self._service):
+        match self._adapter.decode_call(incoming, self._service):
             case result.Failure(problem):
                 logs.request_event("request_malformed", True, problem=problem)
                 incoming.answer(_BAD, [], b"")
@@ -258,13 +258,13 @@
     def _answer(
         self, incoming: door.Incoming, completion: calls.Completion
     ) -> None:
-        said = self._outside.encode_answer(completion)
+        said = self._adapter.encode_answer(completion)
         incoming.answer(said.status, said.headers, said.body)
 
     # The target.
 
     def _announced(self, incoming: door.Incoming) -> None:
-        said = self._outside.decode_announcement(incoming)
+        said = self._adapter.decode_announcement(incoming)
         if said is None:
             incoming.answer(_BAD, [], b"")
             return
@@ -288,7 +288,7 @@
             phase=self._beside.phase.value,
         )
         if change in (beside.Change.NEW_LIFE, beside.Change.LOST):
-            self._neighbours.tell_crash()
+            self._peer_sync.broadcast_crash()
         match change:
             case beside.Change.NEW_LIFE:
                 self._replace_target()
@@ -303,7 +303,7 @@
                 self._runner.detach()
                 # It may live, and hold keys until its holds have ended.
                 self.timers.after(self._holds.pause(), self._abandon_if_silent)
-        self._neighbours.tell_status()
+        self._peer_sync.broadcast_status()
 
     def _give_keys_up(self, moment: float) -> None:
         """Lets successors serve, where the table does not take the moves.
@@ -369,7 +369,7 @@
         ) -> None:
             match outcome:
                 case result.Success(httplink.Answer() as answer):
-                    done(self._outside.judge_order(answer))
+                    done(self._adapter.decode_order_answer(answer))
                 case result.Failure(exchanges.Failure(cause=cause)):
                     logs.event("order_unanswered", cause=cause.value)
                     if cause is exchanges.Cause.REFUSED:
@@ -380,7 +380,7 @@
             current = self._holds.as_written(order)
             if current is None:
                 return b""
-            return self._outside.encode_order(current)
+            return self._adapter.encode_order(current)
 
         self._orders.send(build, timeout, answered)
 
@@ -393,7 +393,7 @@
         members = self._core.view.members()
         linked = {record.peer_address for record in members}
         self._peers.keep(linked | self._entry.addresses())
-        self._outside.store.pace(neighbours.read_pause(len(members)))
+        self._adapter.store.set_pause(peersync.read_pause(len(members)))
         self._budgets.share(len(members))
         self._carry_out()
 
@@ -445,11 +445,11 @@
             case calls.Withdraw(leg=leg):
                 self._runner.withdraw(sender, leg)
             case calls.TableNews(source=source):
-                table = self._outside.decode_table(source)
+                table = self._adapter.decode_table(source)
                 if table is not None:
                     self._table_changed(table)
             case _:
-                if not self._neighbours.receive(envelope):
+                if not self._peer_sync.receive(envelope):
                     self._core.receive(envelope, now())
                     self._carry_out()
 
@@ -474,7 +474,7 @@
         )
         self._core.tick(moment)
         self._carry_out()
-        self._neighbours.tell_newcomers()
+        self._peer_sync.update_new_daemons()
         self._entry.sweep()
         if leaving or self._beside.phase is beside.Phase.LEAVING:
             self._give_keys_up(moment)
@@ -491,7 +491,7 @@
                 ):
                     self._peers.send(sender, address, message)
                 case effects.Commit(change=change):
-                    self._outside.store.commit(
+                    self._adapter.store.commit(
                         change.transaction,
                         functools.partial(
                             self._committed, change.transaction.change
@@ -510,7 +510,7 @@
                 case effects.Refresh(urgent=urgent):
                     # The long poll brings it, after a pause at most.
                     if urgent:
-                        self._outside.store.hurry()
+                        self._adapter.store.skip_pause()
         self._holds.renew()
 
     # Metrics.
@@ -539,16 +539,16 @@
         }
 
     def _pages(self) -> door.Serve:
-        return routerpages.serve(
-            routerpages.Parts(
+        return routerpages.build(
+            routerpages.PageSources(
                 core=self._core,
                 target=self._beside,
                 runner=self._runner,
-                entry=self._entry,
+                dispatcher=self._entry,
                 holds=self._holds,
-                store=self._outside.store,
+                store=self._adapter.store,
                 metrics=self._metrics,
-                table=lambda: (
+                route_table=lambda: (
                     self._table.version if self._table else 0,
                     self._table_since,
                 ),
@@ -589,7 +589,7 @@
         self._core.drain()
         # The target may stay, with slots that others can use meanwhile.
         self.timers.after(_LINGER_S - _STOP_BEFORE_S, self._stop_calls)
-        self._neighbours.tell_status()
+        self._peer_sync.broadcast_status()
 
     @property
     def _takes_calls(self) -> bool:
@@ -601,7 +601,7 @@
 
     def _stop_calls(self) -> None:
         self._runner.drain()
-        self._neighbours.tell_status()
+        self._peer_sync.broadcast_status()
 
     def _reload(self) -> None:
         """Takes over the settings that can change while it runs."""
@@ -658,7 +658,7 @@
 
 def _ownership_settings(settings: config.Config) -> effects.Settings:
     return msgspec.structs.replace(
-        protocol.ownership_settings(settings),
+        ownershipsettings.from_config(settings),
         # Targets enforce the end of their holds themselves.
         linger=0.0,
         ordered=True,
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -25,19 +25,19 @@
 Page = Callable[[dict[str, str]], boundary.Said]
 
 
-class Parts(msgspec.Struct, frozen=True):
+class PageSources(msgspec.Struct, frozen=True):
     """The router's parts that the pages look at.
 
     Attributes:
         core: Leases and slots.
         target: What is known of the target beside it.
         runner: Calls for that target.
-        entry: Requests that came in here.
+        dispatcher: Requests that came in here.
         holds: What the target holds.
         store: Where rows last.
         metrics: Counters and histograms.
-        table: Version of the route table in force, and since when in seconds
-            on this daemon's clock.
+        route_table: Version of the route table in force, and since when in
+            seconds on this daemon's clock.
         gauges: More values, by name.
         clock: Returns monotonic time, seconds.
     """
@@ -45,11 +45,11 @@
     core: ownership.Ownership
     target: beside.Beside
     runner: runner.Runner
-    entry: dispatcher.Dispatcher
+    dispatcher: dispatcher.Dispatcher
     holds: keyholds.KeyHolds
     store: boundary.Store
     metrics: metrics.Metrics
-    table: Callable[[], tuple[int, float]]
+    route_table: Callable[[], tuple[int, float]]
     gauges: Callable[[], dict[str, float]]
     clock: Callable[[], float]
 
@@ -104,7 +104,7 @@
     pending: str
 
 
-def serve(parts: Parts) -> door.Serve:
+def build(parts: PageSources) -> door.Serve:
     """Returns what answers requests for the pages."""
     found: dict[str, Page] = {
         "/metrics": lambda query: _metrics(parts),
@@ -131,12 +131,12 @@
     return answer
 
 
-def status(parts: Parts) -> Status:
+def status(parts: PageSources) -> Status:
     """Returns what the router says of itself."""
     core = parts.core
     queue = parts.runner.queue
     moment = parts.clock()
-    version, since = parts.table()
+    version, since = parts.route_table()
     return Status(
         daemon=core.settings.daemon,
         service=core.settings.service,
@@ -153,7 +153,7 @@
         capacity=queue.capacity,
         running=queue.running,
         waiting=queue.waiting,
-        in_flight=parts.entry.in_flight,
+        in_flight=parts.dispatcher.in_flight,
         table_revision=core.view.cursor,
         table_read_age_ms=_ms(moment - core.read_as_of),
         routes_version=version,
@@ -162,7 +162,7 @@
     )
 
 
-def _explain(parts: Parts, query: dict[str, str]) -> reports.Explanation:
+def _explain(parts: PageSources, query: dict[str, str]) -> reports.Explanation:
     service = query["service"]
     position = int(query["key"])
     if not 0 <= position < slots.POSITIONS:
@@ -178,7 +178,7 @@
     return found
 
 
-def _metrics(parts: Parts) -> boundary.Said:
+def _metrics(parts: PageSources) -> boundary.Said:
     found = status(parts)
     values = {
         "owned_slots": found.owned,
@@ -196,7 +196,7 @@
     }
     for name, value in values.items():
         parts.metrics.set(name, value)
-    parts.metrics.store_calls(parts.store.counts())
+    parts.metrics.store_calls(parts.store.call_counts())
     body, headers = parts.metrics.render("text/plain")
     said = [
         (name.lower().encode("ascii"), value.encode("ascii"))
--- a/tamarackgap/traffic/boundary.py
+++ b/tamarackgap/traffic/boundary.py
@@ -56,15 +56,15 @@
             failed: Called with the cause when a read has failed.
         """
 
-    def watch_operators(
+    def watch_route_table(
         self, changed: Callable[[routetable.RouteTable], None]
     ) -> None:
         """Reads the operators' table, and each new version, for good."""
 
-    def hurry(self) -> None:
+    def skip_pause(self) -> None:
         """Reads the next changes now, if a pause after the last is on."""
 
-    def pace(self, pause: float) -> None:
+    def set_pause(self, pause: float) -> None:
         """Sets how long changes of the rows are gathered, seconds."""
 
     def commit(
@@ -74,7 +74,7 @@
     ) -> None:
         """Puts a transaction; its outcome may stay unknown."""
 
-    def counts(self) -> dict[str, int]:
+    def call_counts(self) -> dict[str, int]:
         """Returns how many calls were made, by kind and result."""
 
 
@@ -88,7 +88,7 @@
         encode_answer: Returns how a completion is told to the caller.
         codec: How calls are spelled towards targets.
         encode_order: Returns the bytes of an order to the target.
-        judge_order: Returns what the answer to an order means.
+        decode_order_answer: Returns what the answer to an order means.
         decode_announcement: Returns what a target says of itself; None for
             what is no announcement.
         decode_table: Returns the table that another daemon has passed on.
@@ -101,6 +101,6 @@
     encode_answer: Callable[[calls.Completion], Said]
     codec: runner.Codec
     encode_order: Callable[[keyholds.Grant | keyholds.Release], bytes]
-    judge_order: Callable[[httplink.Answer], keyholds.Ordered]
+    decode_order_answer: Callable[[httplink.Answer], keyholds.Ordered]
     decode_announcement: Callable[[door.Incoming], beside.Announcement | None]
     decode_table: Callable[[bytes], routetable.RouteTable | None]
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -39,13 +39,13 @@
     Attributes:
         encode: Returns a call's bytes, from the dispatch, the milliseconds
             left and the target's instance.
-        belongs: Returns whether an answer is the one to a request id.
-        judge: Returns the completion that an answer means.
+        is_answer_to: Returns whether an answer is the one to a request id.
+        decode_answer: Returns the completion that an answer means.
     """
 
     encode: Callable[[calls.Dispatch, int, str], bytes]
-    belongs: Callable[[str, httplink.Answer], bool]
-    judge: Callable[[int, httplink.Answer], calls.Completion]
+    is_answer_to: Callable[[str, httplink.Answer], bool]
+    decode_answer: Callable[[int, httplink.Answer], calls.Completion]
 
 
 class Leg(msgspec.Struct, eq=False):
@@ -295,7 +295,7 @@
             functools.partial(self._encode, leg, self._instance),
             left + _GRACE_S,
             functools.partial(self._ran, leg),
-            functools.partial(self._codec.belongs, request),
+            functools.partial(self._codec.is_answer_to, request),
         )
 
     def _encode(self, leg: Leg, instance: str) -> bytes:
@@ -315,7 +315,7 @@
         match outcome:
             case result.Success(httplink.Answer() as answer):
                 self.answered_at = now
-                completion = self._codec.judge(leg.dispatch.leg, answer)
+                completion = self._codec.decode_answer(leg.dispatch.leg, answer)
                 if completion.verdict is types.Verdict.ANSWERED:
                     worked = now - leg.begun
                     if self._crashes:
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operatorconfig.py
@@ -1,7 +1,7 @@
 import json
 
 from standins import site
-from tamarackgap.platform import operators
+from tamarackgap.platform import operatorconfig
 
 
 def test_a_configuration_is_decoded_whole():
@@ -11,7 +11,7 @@
         {"service": "a", "weight": 90},
         {"service": "b", "weight": 10},
     ]
-    table = operators.decode(
+    table = operatorconfig.decode(
         site.configuration(18, split, site.service("a", keyed=True))
     )
     (route,) = table.routes
@@ -27,7 +27,8 @@
 
 def test_versions_are_hexadecimal():
     assert (
-        operators.decode(b'{"version":"0000000c","resources":[]}').version == 12
+        operatorconfig.decode(b'{"version":"0000000c","resources":[]}').version
+        == 12
     )
 
 
@@ -36,11 +37,13 @@
     bad = {"type": "routes", "metadata": {"name": "bad"}, "spec": {"host": 3}}
     odd = site.route("odd", "h", "/odd/", "a")
     odd["spec"]["kind"] = "sometimes"
-    table = operators.decode(site.configuration(1, bad, good, odd))
+    table = operatorconfig.decode(site.configuration(1, bad, good, odd))
     assert [route.name for route in table.routes] == ["good"]
 
 
 def test_bytes_that_are_no_configuration_are_left_alone():
-    assert operators.decode(b"\xff") is None
-    assert operators.decode(b"[]") is None
-    assert operators.decode(json.dumps({"version": "xyz"}).encode()) is None
+    assert operatorconfig.decode(b"\xff") is None
+    assert operatorconfig.decode(b"[]") is None
+    assert (
+        operatorconfig.decode(json.dumps({"version": "xyz"}).encode()) is None
+    )
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -10,7 +10,7 @@
         (name.replace("_", "-").encode(), value)
         for name, value in headers.items()
     ]
-    return requests.judge(1, httplink.Answer(status, named, b""))
+    return requests.decode_answer(1, httplink.Answer(status, named, b""))
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -78,7 +78,7 @@
 def test_changes_are_gathered_and_the_table_is_still_read_in_time(
     client, pause
 ):
-    client.store.pace(pause)
+    client.store.set_pause(pause)
     client.answer(rows=1)
     last = client.timers.now
     client.timers.fire()
@@ -91,9 +91,9 @@
 
 
 def test_a_hurried_poll_leaves_out_the_pause(client):
-    client.store.pace(4.0)
+    client.store.set_pause(4.0)
     client.answer(rows=1)
-    client.store.hurry()
+    client.store.skip_pause()
     assert client.wait_s == 8.0
     assert client.timers.now == 100.0
 
