--- a/tamarackgap/platform/servers.py
+++ b/tamarackgap/platform/servers.py
@@ -93,7 +93,7 @@
     return requests.encode_json("POST", path, "target", body)
 
 
-def judge_order(answer: httplink.Answer) -> slotgrants.OrderResult:
+def decode_order_answer(answer: httplink.Answer) -> slotgrants.OrderResult:
     """Returns what a server's answer to an order means."""
     handover = answer.header(names.HANDOVER) or b""
     return slotgrants.OrderResult(
