--- a/tamarackgap/exceptions.py
+++ b/tamarackgap/exceptions.py
@@ -1,8 +1,8 @@
-"""Errors that reach a person or end a program."""
+"""Defines the errors that are shown to users or end a program."""
 
 
 class TamarackgapError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors that this package raises."""
 
 
 class TableError(TamarackgapError):
@@ -10,4 +10,4 @@
 
 
 class ConflictError(TableError):
-    """A row was changed by somebody else in the meantime."""
+    """A row was changed by another writer in the meantime."""
--- a/tamarackgap/logs.py
+++ b/tamarackgap/logs.py
@@ -1,4 +1,4 @@
-"""Log lines: key=value pairs, one line for each event, through eliot."""
+"""Writes log events through eliot, each as a line of key=value pairs."""
 
 import datetime
 import json
@@ -9,69 +9,72 @@
 
 import eliot
 
-# What needs no quotes, and can't be taken for two pairs.
-_PLAIN = re.compile(r"[!#-<>-~]+")
-_HIDDEN = frozenset(
+# Values of printable ASCII without spaces, quotes and `=` need no quotes.
+_UNQUOTED = re.compile(r"[!#-<>-~]+")
+_ELIOT_KEYS = frozenset(
     {"timestamp", "task_uuid", "task_level", "message_type", "action_type"}
 )
 STANDARD_OUTPUT = "stdout"
-# Lines a second about requests that went well; about those that failed.
-_SUCCESSES_PER_S = 40
-_FAILURES_PER_S = 200
+_SUCCESS_LINES_PER_S = 40
+_FAILURE_LINES_PER_S = 200
 
 
-def _text(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     text = value if isinstance(value, str) else str(value)
-    return text if _PLAIN.fullmatch(text) else json.dumps(text)
+    return text if _UNQUOTED.fullmatch(text) else json.dumps(text)
 
 
 def format_line(message: dict[str, object]) -> str:
     """Returns an eliot message as one line of key=value pairs."""
-    moment = datetime.datetime.fromtimestamp(message["timestamp"], datetime.UTC)
-    stamp = moment.isoformat(timespec="milliseconds").replace("+00:00", "Z")
-    event = message.get("message_type") or message.get("action_type") or "?"
-    pairs = [f"time={stamp}", f"event={_text(event)}"]
+    utc = datetime.datetime.fromtimestamp(message["timestamp"], datetime.UTC)
+    time_text = utc.isoformat(timespec="milliseconds").replace("+00:00", "Z")
+    name = message.get("message_type") or message.get("action_type") or "?"
+    pairs = [f"time={time_text}", f"event={_format_value(name)}"]
     pairs += [
-        f"{key}={_text(value)}"
+        f"{key}={_format_value(value)}"
         for key, value in message.items()
-        if key not in _HIDDEN
+        if key not in _ELIOT_KEYS
     ]
     return " ".join(pairs)
 
 
-class _Stream:
-    """A descriptor that is written to without ever waiting for its reader."""
+class _NonBlockingWriter:
+    """Writes lines to a descriptor and never waits for its reader."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
-        self._lost = 0
+        self._lost_lines = 0
         os.set_blocking(descriptor, False)
 
     def write(self, message: dict[str, object]) -> None:
-        """Writes a line, or counts it as lost if there is no room."""
+        """Writes a line, or counts it as lost if the pipe is full."""
         line = format_line(message)
-        if self._lost:
-            line = f"event=log_lines_lost count={self._lost}\n{line}"
+        if self._lost_lines:
+            line = f"event=log_lines_lost count={self._lost_lines}\n{line}"
         try:
-            # A line that fits only in part is cut: the reader was stalled.
+            # If only a part fits, the rest of the line is dropped.
             os.write(self._descriptor, f"{line}\n".encode())
         except OSError:
-            self._lost += 1
+            self._lost_lines += 1
         else:
-            self._lost = 0
+            self._lost_lines = 0
 
 
 def start(path: str, daemon: str) -> None:
-    """Sends all events to a file.
+    """Directs all events to a file.
 
     Args:
-        path: The file; `-` is standard error, `stdout` standard output.
-        daemon: The daemon's name, for every line.
+        path: Path of the file, `-` for standard error or `stdout` for
+            standard output.
+        daemon: Name of the daemon, which every line contains.
+
+    Raises:
+        OSError: If the file can't be opened.
     """
     if path == STANDARD_OUTPUT:
-        write = _Stream(sys.stdout.fileno()).write
+        write = _NonBlockingWriter(sys.stdout.fileno()).write
     else:
         stream = (
             sys.stderr if path == "-" else open(path, "a", encoding="utf-8")  # noqa: SIM115
@@ -86,27 +89,38 @@
 
 
 def event(name: str, **fields: object) -> None:
-    """Writes one event.
+    """Writes an event.
 
     Args:
-        name: What happened.
-        **fields: What it happened to, and why.
+        name: Name of the event.
+        **fields: Values that describe it.
     """
     eliot.log_message(message_type=name, **fields)
 
 
 class RateLimiter:
-    """Lets so many lines through a second, and counts the others."""
+    """Limits the lines written in a second, and counts the others."""
+
+    def __init__(self, lines_per_s: int) -> None:
+        """Creates a limiter.
 
-    def __init__(self, per_s: int) -> None:
-        """Creates a bound of `per_s` lines a second."""
-        self._per_s = per_s
+        Args:
+            lines_per_s: Largest number of lines in a second.
+        """
+        self._lines_per_s = lines_per_s
         self._second = 0
         self._written = 0
         self._left_out = 0
 
     def admit(self, now: float) -> bool:
-        """Returns whether one more line may be written."""
+        """Counts a line, and returns whether it may be written.
+
+        With the first line of a new second, the number of lines that were
+        left out before is written to the log.
+
+        Args:
+            now: Monotonic time, seconds.
+        """
         second = int(now)
         if second != self._second:
             if self._left_out:
@@ -114,25 +128,26 @@
             self._second = second
             self._written = 0
             self._left_out = 0
-        if self._written >= self._per_s:
+        if self._written >= self._lines_per_s:
             self._left_out += 1
             return False
         self._written += 1
         return True
 
 
-_successes = RateLimiter(_SUCCESSES_PER_S)
-_failures = RateLimiter(_FAILURES_PER_S)
+_success_limiter = RateLimiter(_SUCCESS_LINES_PER_S)
+_failure_limiter = RateLimiter(_FAILURE_LINES_PER_S)
 
 
 def request_event(name: str, failed: bool, **fields: object) -> None:
-    """Writes an event of one request, within a bound a second.
+    """Writes an event about a single request, unless there are too many.
 
     Args:
-        name: What happened.
-        failed: Whether it went wrong; such lines have a bound of their own.
-        **fields: What it happened to, and why.
+        name: Name of the event.
+        failed: Whether the request failed; failures have a separate limit,
+            so that many successes do not hide them.
+        **fields: Values that describe the event.
     """
-    bound = _failures if failed else _successes
-    if bound.admit(time.monotonic()):
+    limiter = _failure_limiter if failed else _success_limiter
+    if limiter.admit(time.monotonic()):
         event(name, **fields)
--- a/tamarackgap/metrics.py
+++ b/tamarackgap/metrics.py
@@ -1,19 +1,24 @@
-"""Counters and gauges, in the text form that collectors read."""
+"""Keeps a daemon's metrics and renders them for Prometheus."""
 
 import aioprometheus
 from aioprometheus import renderer
 
 
 class Metrics:
-    """All metrics of one daemon."""
+    """Holds all metrics of one daemon."""
 
     def __init__(self, daemon: str, service: str) -> None:
-        """Creates metrics that carry the daemon's name and service."""
+        """Creates the metrics, each with the given labels.
+
+        Args:
+            daemon: Name of the daemon.
+            service: Service of the daemon.
+        """
         labels = {"daemon": daemon, "service": service}
         self._registry = aioprometheus.Registry()
         self._requests = self._counter(
             "tamarackgap_requests_total",
-            "Requests of callers, by verdict and reason.",
+            "Finished requests of callers, by verdict and reason.",
             labels,
         )
         self._legs = self._counter(
@@ -23,29 +28,29 @@
         )
         self._events = self._counter(
             "tamarackgap_events_total",
-            "Decisions that are no request's, by event.",
+            "Events other than finished requests, by name.",
             labels,
         )
         self._store_calls = self._gauge(
             "tamarackgap_store_calls",
-            "Calls to the platform's store since the start, by kind and"
-            " result.",
+            "Calls to the platform's store since the daemon started, by kind"
+            " and result.",
             labels,
         )
         self._leg_latency = aioprometheus.Histogram(
             "tamarackgap_leg_seconds",
-            "Time from a call's hand-over to the target to its answer.",
+            "Time from sending a request to the target to its answer.",
             const_labels=labels,
             registry=self._registry,
             buckets=_LATENCY_BUCKETS_S,
         )
         self._gauges = {
-            name: self._gauge(f"tamarackgap_{name}", text, labels)
-            for name, text in _GAUGES.items()
+            name: self._gauge(f"tamarackgap_{name}", help_text, labels)
+            for name, help_text in _GAUGES.items()
         }
         self._latency = aioprometheus.Histogram(
             "tamarackgap_request_seconds",
-            "Time from a caller's request to its answer.",
+            "Time from a caller's request to its response.",
             const_labels=labels,
             registry=self._registry,
             buckets=_LATENCY_BUCKETS_S,
@@ -54,56 +59,73 @@
     def observe_request(
         self, verdict: str, reason: str, seconds: float, route: str = ""
     ) -> None:
-        """Counts a finished request of a caller, on a route if it had one."""
+        """Counts a finished request of a caller.
+
+        Args:
+            verdict: Verdict of the request.
+            reason: Reason of a refusal, or "".
+            seconds: Time from the request to its response, seconds.
+            route: Name of the request's route, or "".
+        """
         self._requests.inc({"verdict": verdict, "reason": reason})
-        where = {"route": route} if route else {}
-        self._latency.observe({"verdict": verdict, **where}, seconds)
+        route_label = {"route": route} if route else {}
+        self._latency.observe({"verdict": verdict, **route_label}, seconds)
 
     def observe_leg(self, verdict: str, seconds: float | None = None) -> None:
         """Counts a request that was handed to the target.
 
         Args:
-            verdict: What became of it.
-            seconds: How long the target took, if it was measured.
+            verdict: Verdict of the leg.
+            seconds: Time that the target took, seconds, or None if it was
+                not measured.
         """
         self._legs.inc({"verdict": verdict})
         if seconds is not None:
             self._leg_latency.observe({"verdict": verdict}, seconds)
 
     def count_event(self, name: str) -> None:
-        """Counts a decision."""
+        """Counts an event by its name."""
         self._events.inc({"event": name})
 
     def set_store_calls(self, counts: dict[str, int]) -> None:
-        """Shows how many calls were made to the store."""
+        """Sets the numbers of calls to the store.
+
+        Args:
+            counts: Numbers of calls by kind and result, which a space
+                separates.
+        """
         for call, count in counts.items():
-            kind, _, outcome = call.rpartition(" ")
-            self._store_calls.set({"kind": kind, "result": outcome}, count)
+            kind, _, result = call.rpartition(" ")
+            self._store_calls.set({"kind": kind, "result": result}, count)
 
     def set_gauge(self, name: str, value: float) -> None:
         """Sets a gauge.
 
         Raises:
-            KeyError: If there is no such gauge.
+            KeyError: If `name` is not in `_GAUGES`.
         """
         self._gauges[name].set({}, value)
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Returns all metrics as text, with the HTTP headers for it."""
+        """Returns all metrics as text, with the HTTP headers for it.
+
+        Args:
+            accept: Accept header of the request.
+        """
         return renderer.render(self._registry, [accept])
 
     def _counter(
-        self, name: str, text: str, labels: dict[str, str]
+        self, name: str, help_text: str, labels: dict[str, str]
     ) -> aioprometheus.Counter:
         return aioprometheus.Counter(
-            name, text, const_labels=labels, registry=self._registry
+            name, help_text, const_labels=labels, registry=self._registry
         )
 
     def _gauge(
-        self, name: str, text: str, labels: dict[str, str]
+        self, name: str, help_text: str, labels: dict[str, str]
     ) -> aioprometheus.Gauge:
         return aioprometheus.Gauge(
-            name, text, const_labels=labels, registry=self._registry
+            name, help_text, const_labels=labels, registry=self._registry
         )
 
 
@@ -122,23 +144,23 @@
 )
 
 _GAUGES = {
-    "owned_slots": "Slots owned.",
+    "owned_slots": "Slots that the daemon owns.",
     "lease_left_seconds": "Time until the lease ends.",
-    "epoch": "The lease's epoch.",
+    "epoch": "Epoch of the lease.",
     "in_progress": "Requests in progress at the target.",
-    "queued": "Requests that wait for the target.",
-    "table_revision": "Revision up to which the table was read.",
+    "queued": "Requests waiting for the target.",
+    "table_revision": "Revision up to which the table has been read.",
     "table_reads": "Reads of the table.",
-    "table_writes": "Transactions put to the table.",
+    "table_writes": "Transactions sent to the table.",
     "peer_messages_sent": "Messages sent to other daemons.",
     "peer_bytes_sent": "Bytes sent to other daemons.",
-    "peer_messages_dropped": "Messages that had no connection.",
-    "peer_frames_malformed": "Frames that were no message of ours.",
-    "renewal_lateness_seconds": "Largest delay of a renewal so far.",
-    "loop_pause_seconds": "Longest turn of the loop so far.",
-    "held_runs": "Runs of slots that the target is told to hold.",
-    "route_table_version": "Version of the route table in force.",
-    "route_table_age_seconds": "Time since it came into force.",
+    "peer_messages_dropped": "Messages dropped for lack of a connection.",
+    "peer_frames_malformed": "Received frames that were malformed or of another deployment.",
+    "renewal_lateness_seconds": "Largest delay of a lease renewal since the start.",
+    "loop_pause_seconds": "Longest turn of the event loop since the start.",
+    "held_runs": "Ranges of slots granted to the target.",
+    "route_table_version": "Version of the route table in use.",
+    "route_table_age_seconds": "Time since the route table in use was loaded.",
     "table_read_age_seconds": "Time since the table was last read.",
-    "open_connections": "Connections of callers.",
+    "open_connections": "Open connections of callers.",
 }
--- a/tamarackgap/peers/__init__.py
+++ b/tamarackgap/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between daemons, and their transport."""
+"""Messages between daemons, and the transport that carries them."""
--- a/tamarackgap/peers/calls.py
+++ b/tamarackgap/peers/calls.py
@@ -1,4 +1,8 @@
-"""What a caller asks for, and what becomes of it on the way."""
+"""Defines callers' requests to services, and the messages about them.
+
+A leg is one attempt to have a request executed by one daemon's target. A
+request has several legs if the first ones fail.
+"""
 
 import msgspec
 
@@ -6,16 +10,17 @@
 
 
 class Call(msgspec.Struct, array_like=True, frozen=True):
-    """A caller's request, as it is handed to a target.
+    """A caller's request, in the form in which it is handed to a target.
 
     Attributes:
-        request_id: Its id.
-        caller_service: Service of the VM where it began.
+        request_id: Id of the request, the same for all its legs.
+        caller_service: Service of the VM that sent the request.
         method: HTTP method.
         request_target: Path and query.
         head: Header lines to pass on, each with its line end.
-        body: The body.
-        position: Position of its key, below `slots.POSITION_COUNT`, or None.
+        body: Whole body.
+        position: Position of its key, below `slots.POSITION_COUNT`, or None
+            if it has no key.
     """
 
     request_id: types.RequestId
@@ -28,20 +33,20 @@
 
 
 class Dispatch(msgspec.Struct, tag="dispatch", array_like=True, frozen=True):
-    """A call on its way to a daemon whose target is to run it.
+    """Asks a daemon to have its target execute a call.
 
     Attributes:
-        owner: The incarnation that is asked.
-        leg: Id of this leg; the completion carries it.
-        service: The service that is to run it.
+        owner: Incarnation that is asked.
+        leg: Id of the leg, which the completion repeats.
+        service: Service of the call.
         call: The call.
-        remaining: Seconds until the caller's deadline.
-        rank: 0 is served first.
-        idempotent: Whether running it twice does no harm.
-        latency_objective: Time within which the route's answers are of full
-            use, seconds.
-        objective_remaining: What is left of it, seconds; negative where it has
-            passed.
+        remaining: Time until the caller's deadline, seconds.
+        rank: Priority of the call; 0 is served first.
+        idempotent: Whether the call may be executed twice.
+        latency_objective: Time within which an answer has its full value,
+            as set for the route, seconds.
+        objective_remaining: What is left of the latency objective, seconds;
+            negative once it has passed.
     """
 
     owner: types.Incarnation
@@ -58,18 +63,18 @@
 class Completion(
     msgspec.Struct, tag="completion", array_like=True, frozen=True
 ):
-    """What became of a `Dispatch`.
+    """Reports the result of a `Dispatch`.
 
     Attributes:
-        leg: The leg's id.
-        verdict: Whether the target ran it.
-        reason: Why there is no answer; None where there is one.
-        status: The target's HTTP status, where it answered.
-        head: The answer's header lines to pass on.
-        body: The target's whole body.
-        retry_after: When there will be room, seconds from now.
-        running: Calls at the target.
-        waiting: Calls in the daemon's queue.
+        leg: Id of the leg.
+        verdict: Whether the target executed the call.
+        reason: Reason why there is no answer, or None if there is one.
+        status: HTTP status of the target's answer.
+        head: Header lines of the answer to pass on.
+        body: Whole body of the answer.
+        retry_after: Time until there is likely to be room, seconds.
+        running: Number of calls at the target.
+        waiting: Number of calls in the daemon's queue.
     """
 
     leg: int
@@ -84,7 +89,7 @@
 
 
 class Withdraw(msgspec.Struct, tag="withdraw", array_like=True, frozen=True):
-    """The caller no longer waits for a leg."""
+    """Cancels a leg, since its caller no longer waits for the answer."""
 
     leg: int
 
@@ -92,11 +97,12 @@
 class TargetCrash(
     msgspec.Struct, tag="target-crash", array_like=True, frozen=True
 ):
-    """A target crashed while it ran these contents.
+    """Reports a crash of a target and the requests that it was executing.
 
     Attributes:
-        fingerprints: Their fingerprints, each with its run's begin and end in
-            seconds before the message was sent. Runs end one by one.
+        fingerprints: Start and end of the execution by fingerprint of the
+            request, seconds before the message was sent. Ends differ, since
+            the connections to a crashed target close one by one.
     """
 
     fingerprints: dict[str, tuple[float, float]]
@@ -105,7 +111,7 @@
 class ContentCleared(
     msgspec.Struct, tag="content-cleared", array_like=True, frozen=True
 ):
-    """A content that was at a crash has been answered since."""
+    """Reports the answer to a request that an earlier crash had involved."""
 
     fingerprint: str
 
@@ -113,32 +119,33 @@
 class RouteTableRequest(
     msgspec.Struct, tag="table-wanted", array_like=True, frozen=True
 ):
-    """A daemon asks another for its newer route table."""
+    """Asks a daemon with a newer route table for that table."""
 
 
 class RouteTableUpdate(
     msgspec.Struct, tag="table-news", array_like=True, frozen=True
 ):
-    """A route table, passed on as the operators wrote it."""
+    """Passes a route table on, as the operators wrote it."""
 
     source: bytes
 
 
 class TargetStatus(msgspec.Struct, tag="status", array_like=True, frozen=True):
-    """What a daemon tells the others of itself and its target.
+    """Reports the state of a daemon and its target to other daemons.
 
     Attributes:
-        service: The target's service.
+        service: Service of the target.
         accepting: Whether the target takes new calls.
-        capacity: Calls that the target runs at once.
-        running: Calls at the target.
-        waiting: Calls in the daemon's queue.
-        relative_latency: Usual time of a call at the target, as a part of its
-            route's latency objective; 0 where it has served none.
-        version: Version of the route table in force there.
-        data_centre: Where the daemon stands.
-        process: Id of the process, the same for all its incarnations.
-        interval: How often it tells this, seconds.
+        capacity: Number of calls that the target executes at once.
+        running: Number of calls at the target.
+        waiting: Number of calls in the daemon's queue.
+        relative_latency: Usual time of a call at the target, as a fraction
+            of the latency objective of its route; 0 before the first call.
+        version: Version of the route table in use.
+        data_centre: Data centre of the daemon.
+        process: Id of the daemon's process; it is kept when the daemon
+            starts a new incarnation.
+        interval: Time between two reports, seconds.
     """
 
     service: types.ServiceName
--- a/tamarackgap/peers/messages.py
+++ b/tamarackgap/peers/messages.py
@@ -1,7 +1,7 @@
-"""Messages between daemons, and their wire form.
+"""Defines the messages between daemons, and encodes them.
 
-Each message travels one way, in an envelope that names the sender. Nothing
-is matched by order: an answer carries the ids of what it answers.
+Each message is sent in an envelope that names the sender. Replies are not
+matched by order: each carries the ids of the message that it replies to.
 """
 
 import msgspec
@@ -12,15 +12,15 @@
 
 
 class Renew(msgspec.Struct, tag="renew", array_like=True, frozen=True):
-    """An owner asks a witness to renew its grant.
+    """Asks a witness to renew the owner's grant.
 
     Attributes:
-        witness: The incarnation that is asked.
-        epoch: The owner's epoch.
-        sent: Time of sending on the owner's clock, seconds.
+        witness: Incarnation that is asked.
+        epoch: Epoch of the owner.
+        sent: Time of sending, seconds on the owner's clock.
         revision: Newest revision of the table that the owner knows of.
-        probe: Whether the owner asks for an answer only, not for a grant:
-            it has not heard from most witnesses lately.
+        probe: Whether the owner only asks for a reply and not for a grant,
+            because most of its witnesses have not replied lately.
     """
 
     witness: str
@@ -31,15 +31,16 @@
 
 
 class RenewReply(msgspec.Struct, tag="granted", array_like=True, frozen=True):
-    """A witness's answer to `Renew`; it is a grant only where `granted`.
+    """Replies to `Renew`, with a grant or without.
 
     Attributes:
-        owner: The incarnation that asked: a later process at its address
-            must not take the grant for its own.
-        epoch: The owner's epoch.
-        sent: Time of the renewal's sending on the owner's clock, seconds.
-        granted: Whether the witness granted.
-        state: The witness's state afterwards.
+        owner: Incarnation that asked; a later process at the same address
+            must not use the grant.
+        epoch: Epoch of the owner.
+        sent: Time at which the renewal was sent, seconds on the owner's
+            clock.
+        granted: Whether the witness renewed the grant.
+        state: State of the witness after the renewal.
         revision: Newest revision of the table that the witness knows of.
     """
 
@@ -52,14 +53,25 @@
 
 
 class SuspectOwner(msgspec.Struct, tag="suspect", array_like=True, frozen=True):
-    """A witness tells a successor that an owner no longer renews."""
+    """Tells a successor that an owner has stopped renewing its grants.
+
+    Attributes:
+        owner: Incarnation that is suspected.
+        epoch: Epoch of that owner.
+    """
 
     owner: str
     epoch: int
 
 
 class Seal(msgspec.Struct, tag="seal", array_like=True, frozen=True):
-    """A successor asks a witness never to renew an epoch again."""
+    """Asks a witness, for a successor, to end its renewals of an epoch.
+
+    Attributes:
+        witness: Incarnation that is asked.
+        owner: Owner of the epoch.
+        epoch: The epoch.
+    """
 
     witness: str
     owner: str
@@ -67,13 +79,14 @@
 
 
 class SealReply(msgspec.Struct, tag="sealed", array_like=True, frozen=True):
-    """A witness's answer to `Seal`.
+    """Replies to `Seal`.
 
     Attributes:
-        owner: The epoch's owner.
+        owner: Owner of the epoch.
         epoch: The epoch.
-        state: The witness's state; OPEN and RETIRED are refusals.
-        age: Seconds since its last grant; negative where it never granted.
+        state: State of the witness; OPEN and RETIRED mean that it refused.
+        age: Time since its last grant, seconds; negative if it never granted
+            one.
     """
 
     owner: str
@@ -83,14 +96,25 @@
 
 
 class Retire(msgspec.Struct, tag="retire", array_like=True, frozen=True):
-    """An owner asks that its epoch end only by a write to the table."""
+    """Asks a witness to let the owner's epoch end only through the table.
+
+    Attributes:
+        witness: Incarnation that is asked.
+        epoch: Epoch of the owner.
+    """
 
     witness: str
     epoch: int
 
 
 class RetireReply(msgspec.Struct, tag="retired", array_like=True, frozen=True):
-    """A witness's answer to `Retire`; `owner` is the one that asked."""
+    """Replies to `Retire`.
+
+    Attributes:
+        owner: Incarnation that asked.
+        epoch: Epoch of the owner.
+        state: State of the witness.
+    """
 
     owner: str
     epoch: int
@@ -98,25 +122,32 @@
 
 
 class Release(msgspec.Struct, tag="release", array_like=True, frozen=True):
-    """An owner gives up its epoch: it serves nothing under it any more."""
+    """Tells a witness that the owner no longer serves under its epoch.
+
+    Attributes:
+        witness: Incarnation that is told.
+        epoch: Epoch that the owner has given up.
+    """
 
     witness: str
     epoch: int
 
 
 class Rows(msgspec.Struct, tag="rows", array_like=True, frozen=True):
-    """Rows that were just written to the table."""
+    """Passes on rows that were just written to the table."""
 
     rows: tuple[records.Row, ...]
 
 
 class Claim(msgspec.Struct, tag="claim", array_like=True, frozen=True):
-    """A successor serves slots that the table does not yet show as its own.
+    """Announces a takeover that is not yet recorded in the table.
+
+    The sender already serves the slots.
 
     Attributes:
-        service: The service.
-        owner: The incarnation whose lease is over.
-        runs: The slots, with their new fences.
+        service: Service of the slots.
+        owner: Former owner, whose lease has ended.
+        runs: Ranges of slots, with their new fences.
     """
 
     service: str
@@ -125,23 +156,28 @@
 
 
 class Forward(msgspec.Struct, tag="forward", array_like=True, frozen=True):
-    """A request on its way to the key's owner.
+    """Asks the owner of a key to have its target execute a request.
+
+    A leg is one attempt to have a request executed by one daemon's target.
 
     Attributes:
-        owner: The incarnation that is asked.
-        leg: Fresh id of this leg; the answer carries it.
-        request_id: The caller's request id.
-        service: The service.
-        key: The key.
-        slot: The key's slot.
+        owner: Incarnation that is asked.
+        leg: Fresh id of the leg, which the reply repeats.
+        request_id: Id that the caller gave the request.
+        service: Service of the request.
+        key: Key of the request.
+        slot: Slot of the key.
         method: HTTP method.
-        path: Path below the service, as the caller gave it.
-        body: The request's body.
-        remaining: Seconds until the caller's deadline.
-        idempotent: Whether running it twice does no harm.
-        attempt: 1 where the caller never sent this id before.
-        first_sent_ms: Wall-clock time of the first sending, milliseconds.
-        urgent: False where the request can wait, as reports can.
+        path: Path below the service, as the caller sent it.
+        body: Whole body.
+        remaining: Time until the caller's deadline, seconds.
+        idempotent: Whether the request may be executed twice.
+        attempt: 1 if the caller has not sent this id before; a higher number
+            if it may have.
+        first_sent_ms: Wall-clock time at which the caller first sent this
+            id, milliseconds since 1970.
+        urgent: Whether the request is served before those that can wait,
+            such as reports.
     """
 
     owner: types.Incarnation
@@ -161,17 +197,17 @@
 
 
 class ForwardReply(msgspec.Struct, tag="outcome", array_like=True, frozen=True):
-    """The owner's answer to `Forward`.
+    """Replies to `Forward`.
 
     Attributes:
-        leg: The leg's id.
-        verdict: Whether the operation ran.
-        reason: Why it was refused; None where it was answered.
-        status: The target's HTTP status, where it was answered.
-        content_type: The answer's media type.
-        body: The target's whole answer.
-        owner: A newer owner of the slot, where the asked one knows it.
-        fence: The fence of that newer owner.
+        leg: Id of the leg.
+        verdict: Whether the request was executed.
+        reason: Reason of the refusal, or None if the target answered.
+        status: HTTP status of the target's answer.
+        content_type: Media type of the answer.
+        body: Whole body of the answer.
+        owner: A newer owner of the slot, if the sender knows one.
+        fence: Fence of the slot under that owner.
     """
 
     leg: str
@@ -185,17 +221,18 @@
 
 
 class Cancel(msgspec.Struct, tag="cancel", array_like=True, frozen=True):
-    """The caller went away; the leg's answer is no longer wanted."""
+    """Cancels a leg, since its caller has disconnected."""
 
     leg: str
 
 
 class CrashReport(msgspec.Struct, tag="crashed", array_like=True, frozen=True):
-    """A target crashed while it ran these contents.
+    """Reports the requests that a target was executing when it crashed.
 
     Attributes:
-        fingerprints: Fingerprints of the requests that it ran.
-        exclusive: Whether it ran only the one: then that one is the cause.
+        fingerprints: Fingerprints of the requests.
+        exclusive: Whether the target was executing a single request, which
+            is then the cause of the crash.
     """
 
     fingerprints: tuple[str, ...]
@@ -203,10 +240,10 @@
 
 
 class LoadReport(msgspec.Struct, tag="load", array_like=True, frozen=True):
-    """What a daemon serves at present.
+    """Reports a daemon's load to other members of its service.
 
     Attributes:
-        rate: Requests a second; None while its slots have just changed.
+        rate: Requests a second, or None right after its slots have changed.
     """
 
     rate: float | None
@@ -243,9 +280,10 @@
     """A message with its sender.
 
     Attributes:
-        deployment: Name of the deployment; others' messages are dropped.
-        sender: The sending incarnation.
-        address: The sender's `ip:port`, to answer to.
+        deployment: Name of the sender's deployment; daemons of another
+            deployment drop the message.
+        sender: Incarnation that sends the message.
+        address: `ip:port` to which replies are sent.
         message: The message.
     """
 
@@ -260,14 +298,15 @@
 
 
 def encode(envelope: Envelope) -> bytes:
-    """Returns an envelope's wire form."""
+    """Returns an envelope as MessagePack."""
     return _ENCODER.encode(envelope)
 
 
 def decode(frame: bytes) -> Envelope:
-    """Returns the envelope in a frame.
+    """Returns the envelope that a frame contains.
 
     Raises:
         msgspec.MsgspecError: If the frame is malformed.
+        UnicodeDecodeError: If a text in the frame is not UTF-8.
     """
     return _DECODER.decode(frame)
--- a/tamarackgap/peers/transport.py
+++ b/tamarackgap/peers/transport.py
@@ -1,8 +1,9 @@
-"""Messages between daemons, over pyzmq on the circuits loop.
+"""Sends and receives messages between daemons over ZeroMQ.
 
-Every daemon pulls on one socket and pushes on one socket for each peer. A
-push to a peer that is not connected fails at once, so nothing waits in a
-queue to be delivered to a later process at the same address.
+Each daemon has one PULL socket and a PUSH socket for each peer, all served by
+the circuits loop. A push to a peer that is not connected fails at once, so
+that no message is queued and delivered to a later process at the same
+address.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,20 +15,29 @@
 from tamarackgap.network import scheduler, sockets
 from tamarackgap.peers import messages
 
-_HIGH_WATER_MESSAGES = 1000
+_HIGH_WATER_MARK_MESSAGES = 1000
 _RECONNECT_MS = 50
 _RECONNECT_MAX_MS = 500
-# A turn of the loop must stay short even if peers send without pause.
-_DRAIN_MESSAGES = 200
-_MISSED_EDGE_S = 0.05
-# A plain number: flags of an enumeration are slow to combine.
+# Keeps a turn of the loop short when peers send without pause.
+_MAX_MESSAGES_PER_TURN = 200
+_DRAIN_INTERVAL_S = 0.05
+# An int, because flags of an enumeration are slow to combine.
 _READABLE = int(zmq.POLLIN)
 
 Receive = Callable[[messages.Envelope], None]
 
 
 class PeerTransport:
-    """All links to other daemons."""
+    """Holds the connections to all other daemons.
+
+    Attributes:
+        sent_messages: Number of messages handed to a connection.
+        sent_bytes: Size of these messages, bytes.
+        dropped_messages: Number of messages for peers without a connection
+            or with a full queue.
+        malformed_frames: Number of received frames that were malformed or
+            of another deployment.
+    """
 
     def __init__(
         self,
@@ -38,15 +48,17 @@
         max_message_bytes: int,
         receive: Receive,
     ) -> None:
-        """Binds to `address`.
+        """Binds the receiving socket.
 
         Args:
-            poller: The loop's poller.
-            timers: The loop's scheduler.
-            deployment: Messages of other deployments are dropped.
-            address: This daemon's `ip:port`.
-            max_message_bytes: Largest message, bytes.
-            receive: Called with each message.
+            poller: Poller of the loop.
+            timers: Scheduler of the loop.
+            deployment: Name of the deployment; messages of others are
+                dropped.
+            address: `ip:port` to bind to, which is also the address that
+                peers reply to.
+            max_message_bytes: Size of the largest message accepted, bytes.
+            receive: Called with each message received.
 
         Raises:
             OSError: If the address can't be bound.
@@ -58,7 +70,7 @@
         self._context.setsockopt(zmq.MAX_SOCKETS, 8192)
         self._inbox = self._context.socket(zmq.PULL)
         self._inbox.setsockopt(zmq.LINGER, 0)
-        self._inbox.setsockopt(zmq.RCVHWM, _HIGH_WATER_MESSAGES)
+        self._inbox.setsockopt(zmq.RCVHWM, _HIGH_WATER_MARK_MESSAGES)
         self._inbox.setsockopt(zmq.MAXMSGSIZE, max_message_bytes)
         try:
             self._inbox.bind(f"tcp://{address}")
@@ -72,13 +84,18 @@
         poller.watch(
             self._inbox.getsockopt(zmq.FD), sockets.READABLE, self._readable
         )
-        self._more = False
+        self._has_more = False
         timers.each_turn(self._drain_rest)
-        # The descriptor is edge-triggered: a missed edge is made up here.
-        timers.every(_MISSED_EDGE_S, self._drain)
+        # The descriptor is edge-triggered, so a missed edge would leave
+        # messages unread.
+        timers.every(_DRAIN_INTERVAL_S, self._drain)
 
     def set_peers(self, addresses: set[str]) -> None:
-        """Connects to these peers ahead, and closes links to all others."""
+        """Connects to the given peers and closes all other connections.
+
+        Args:
+            addresses: `ip:port` of the peers; this daemon's own is ignored.
+        """
         for address in addresses - {self._address}:
             self._outbox(address)
         for address in self._outboxes.keys() - addresses:
@@ -87,28 +104,30 @@
     def send(
         self, sender: str, address: str, message: messages.Message
     ) -> bool:
-        """Sends a message, without waiting.
+        """Sends a message without waiting.
 
         Args:
-            sender: The incarnation that sends.
-            address: The receiver's `ip:port`.
+            sender: Incarnation that sends the message.
+            address: `ip:port` of the receiver.
             message: The message.
 
         Returns:
-            Whether it was handed to a connection; it may be lost all the
-            same. If not, it will never arrive.
+            True if the message was handed to a connection, where it may
+            still be lost; False if it will never arrive.
         """
         return self._send(address, self._frame(sender, message))
 
     def send_all(
         self, sender: str, addresses: Iterable[str], message: messages.Message
     ) -> None:
-        """Sends a message to many, without waiting.
+        """Sends a message to several daemons without waiting.
+
+        The message is encoded only once.
 
         Args:
-            sender: The incarnation that sends.
-            addresses: The receivers' `ip:port`.
-            message: The message; it is encoded once.
+            sender: Incarnation that sends the message.
+            addresses: `ip:port` of the receivers.
+            message: The message.
         """
         frame = self._frame(sender, message)
         for address in addresses:
@@ -130,7 +149,7 @@
         return True
 
     def close(self) -> None:
-        """Closes all links."""
+        """Closes all sockets."""
         for outbox in self._outboxes.values():
             outbox.close()
         self._inbox.close()
@@ -142,7 +161,7 @@
             outbox = self._context.socket(zmq.PUSH)
             outbox.setsockopt(zmq.LINGER, 0)
             outbox.setsockopt(zmq.IMMEDIATE, 1)
-            outbox.setsockopt(zmq.SNDHWM, _HIGH_WATER_MESSAGES)
+            outbox.setsockopt(zmq.SNDHWM, _HIGH_WATER_MARK_MESSAGES)
             outbox.setsockopt(zmq.RECONNECT_IVL, _RECONNECT_MS)
             outbox.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MAX_MS)
             outbox.connect(f"tcp://{address}")
@@ -154,18 +173,20 @@
         self._drain()
 
     def _drain_rest(self) -> None:
-        if self._more:
+        if self._has_more:
             self._drain()
 
     def _drain(self) -> None:
-        for _ in range(_DRAIN_MESSAGES):
-            # Asking first is cheaper than an exception.
-            self._more = bool(self._inbox.getsockopt(zmq.EVENTS) & _READABLE)
-            if not self._more:
+        for _ in range(_MAX_MESSAGES_PER_TURN):
+            # Checking first is cheaper than the exception of an empty queue.
+            self._has_more = bool(
+                self._inbox.getsockopt(zmq.EVENTS) & _READABLE
+            )
+            if not self._has_more:
                 return
-            self._take(self._inbox.recv(zmq.NOBLOCK))
+            self._handle_frame(self._inbox.recv(zmq.NOBLOCK))
 
-    def _take(self, frame: bytes) -> None:
+    def _handle_frame(self, frame: bytes) -> None:
         try:
             envelope = messages.decode(frame)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
--- a/tamarackgap/placement/__init__.py
+++ b/tamarackgap/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Slots of keys: rows about them, where they are, where they should go."""
+"""Slots of keys: stored records, current owners, load and placement."""
--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -1,7 +1,8 @@
-"""Pure decisions: quotas, moves, witnesses and successors.
+"""Decides quotas, moves, witnesses and successors, without side effects.
 
-Each owner computes the same plan from the same view and carries out only
-its own part; the compare-and-set on both records is the agreement.
+Every owner computes the same plan from the same view of the table and carries
+out only the moves of its own slots. Owners need no further agreement: the
+write that moves a slot checks the revisions of both owners' records.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -12,39 +13,45 @@
 from tamarackgap import types
 from tamarackgap.placement import loadstats, records, slots
 
-# Below this many requests a second in all, only numbers of slots count.
-_LEAST_RATE = 20.0
-# Load counts for nearly all of a slot's cost; the rest keeps idle slots even.
-_HEAT = 0.9
-# A move may leave the taker with at most this part of the giver's excess,
-# and a slot below this part of a member's share is a trifle.
-_LEFT = 0.9
-_TRIFLE = 0.005
-# A block may cost so much more than it should, rather than be a slot short.
-_OVERSHOOT = 1.1
-# A difference counts only if it is this many standard deviations large.
-_DEVIATIONS = 3.0
-# Numbers of slots are exact: they are evened out closer than load.
+# Below this total of all members, only numbers of slots are balanced.
+_MIN_TOTAL_RATE_PER_S = 20.0
+# The part of a slot's cost that comes from its load. The rest is the same for
+# all slots, so that idle slots are spread evenly too.
+_LOAD_WEIGHT = 0.9
+# After a move, the destination may exceed its share by at most this fraction
+# of the source's excess before the move.
+_MAX_EXCESS_LEFT = 0.9
+# Costs below this fraction of the source's share are not worth a move.
+_MIN_COST_OF_SHARE = 0.005
+# A block may cost this factor of the wanted cost; with a strict bound it would
+# often end one slot too early.
+_BLOCK_COST_FACTOR = 1.1
+# A load above the share counts only if it differs from the share by more
+# standard deviations of the measured rate than this.
+_MIN_DEVIATIONS = 3.0
+# Numbers of slots are exact, unlike rates, so their tolerance is lower. It is
+# a fraction of the quota.
 _COUNT_TOLERANCE = 0.02
-# A lost daemon's slots go to so many others: each of them has one write to
-# make, and gets an eighth of the load on top of its own.
-_SUCCESSORS = 8
-# A successor is kept until it has this much more than its fair share: each
-# change costs a new epoch.
+# Limits both the writes after a loss (each successor makes one) and the load
+# that each successor gets on top of its own (an eighth of the lost one).
+_MAX_SUCCESSORS = 8
+# A successor is replaced only if it has more slots than its fair share by this
+# fraction, because each change costs a new epoch.
 _SUCCESSOR_SLACK = 0.25
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A daemon that may own slots of a service.
+    """Describes a daemon that may own slots of a service.
 
     Attributes:
-        incarnation: Its id.
-        name: Its daemon's name, the same over restarts.
-        data_centre: Where it stands.
-        weight: Its share against other members; 0 takes nothing.
-        owned: The slots it owns now.
-        rate: Requests a second that it serves, or None where nothing
-            fresh is known of it.
+        incarnation: The daemon's incarnation.
+        name: The daemon's name, which is kept across restarts.
+        data_centre: Data centre of the daemon.
+        weight: Weight of its share; a member of weight 0 gets no slots and
+            gives away those it has.
+        owned: Slots that it owns now.
+        rate: Requests a second that it serves, or None if it has not
+            reported its load recently.
     """
 
     incarnation: str
@@ -60,9 +67,9 @@
 
     Attributes:
         slot: The slot.
-        source: Its owner now.
-        destination: Its owner afterwards.
-        reason: Why, for the log.
+        source: Incarnation that owns it now.
+        destination: Incarnation that should own it.
+        reason: Reason for the log.
     """
 
     slot: int
@@ -72,12 +79,20 @@
 
 
 def score(item: object, candidate: str) -> int:
-    """Returns a candidate's rendezvous hash for an item; highest wins."""
+    """Returns the weight of a candidate for an item; the highest wins."""
     return xxhash.xxh3_64_intdigest(f"{item}/{candidate}".encode())
 
 
 def quotas(slot_count: int, members: Sequence[Member]) -> dict[str, int]:
-    """Returns each member's number of slots, by largest remainder."""
+    """Returns each member's number of slots, by largest remainder.
+
+    Args:
+        slot_count: Number of slots of the service.
+        members: Members with their weights.
+
+    Returns:
+        Numbers by incarnation; all 0 if no member has a weight.
+    """
     total = sum(member.weight for member in members)
     if not total:
         return {member.incarnation: 0 for member in members}
@@ -95,42 +110,57 @@
     }
 
 
-# Chooses the moves of one giver, and takes their cost out of the room that
-# members have: the giver, all members, costs, room, shares.
+# Chooses the moves away from one member and updates the headroom. Arguments:
+# the source, all members that take part, the costs, the headroom by
+# incarnation and the members' shares.
 MoveStrategy = Callable[
-    [Member, Sequence[Member], "Costs", dict[str, float], dict[Member, float]],
+    [
+        Member,
+        Sequence[Member],
+        "Costs",
+        dict[str, float],
+        dict[Member, float],
+    ],
     list[Move],
 ]
 
 
 class Costs:
-    """What slots and members cost, as shares of the members' whole."""
+    """Computes the costs of slots and members.
+
+    Costs are fractions of the cost of all slots together.
+    """
 
     def __init__(
         self, members: Sequence[Member], rates: dict[int, float]
     ) -> None:
-        """Weighs load and number of slots.
+        """Creates a model from measured rates.
 
         Args:
-            members: Members whose load is known, or that own nothing.
-            rates: Requests a second of the slots that are known exactly.
+            members: Members that take part; a missing rate counts as 0.
+            rates: Requests a second of those slots that were measured
+                singly.
         """
         self.total = sum(member.rate or 0.0 for member in members) or 1.0
         count = sum(len(member.owned) for member in members)
-        self._even = (1 - _HEAT) / max(1, count)
+        self._fixed_cost = (1 - _LOAD_WEIGHT) / max(1, count)
         self._rates = rates
 
     def slot(self, slot: int, owner: Member) -> float:
-        """Returns a slot's cost; of others' slots, their mean."""
+        """Returns a slot's cost.
+
+        A slot without a rate of its own is given the mean rate of its
+        owner's slots.
+        """
         rate = self._rates.get(slot)
         if rate is None:
             rate = (owner.rate or 0.0) / max(1, len(owner.owned))
-        return self._even + _HEAT * rate / self.total
+        return self._fixed_cost + _LOAD_WEIGHT * rate / self.total
 
     def member(self, member: Member) -> float:
-        """Returns what a member's slots cost together."""
-        load = _HEAT * (member.rate or 0.0) / self.total
-        return self._even * len(member.owned) + load
+        """Returns the cost of all slots of a member."""
+        load = _LOAD_WEIGHT * (member.rate or 0.0) / self.total
+        return self._fixed_cost * len(member.owned) + load
 
 
 def plan_moves(
@@ -141,162 +171,203 @@
     half_life: float = loadstats.HALF_LIFE_S,
     strategy: "MoveStrategy | None" = None,
 ) -> list[Move]:
-    """Returns the moves that bring every member near to its share.
+    """Returns the moves that bring every member close to its share.
 
-    Only surplus moves, hottest slots first, so the churn is the least
-    possible. A slot too hot for any member stays, and others leave it.
-    Members whose load is not known take no part, so that a plan never rests
-    on a stale view; with hardly any load, numbers of slots count alone.
+    Only surplus is moved, the most loaded slots first, which keeps the number
+    of moves low. A slot with more load than the share of any member stays,
+    and its owner's other slots move away. Members whose load is not known are
+    left out, so that no move rests on stale data. With hardly any load, only
+    numbers of slots are balanced.
 
     Args:
         slot_count: Number of slots of the service.
-        members: All members that own slots or may.
-        rates: Requests a second of the slots that are known exactly.
-        tolerance: Excess over its share at which a member gives slots
-            away, as a part of the share.
+        members: All members that own slots or may own some.
+        rates: Requests a second of those slots that were measured singly.
+        tolerance: Excess over its share at which a member gives slots away,
+            as a fraction of the share.
         half_life: Half-life of the rates, seconds.
-        strategy: Chooses one giver's moves; `plan_slot_moves` if None.
+        strategy: Chooses the moves of one source; `plan_slot_moves` if None.
     """
     if not any(member.weight for member in members):
         return []
-    known = [
+    participants = [
         m for m in members if m.rate is not None or not (m.owned and m.weight)
     ]
-    costs = Costs(known, rates or {})
-    if costs.total < _LEAST_RATE and _is_idle(members):
-        return _plan_counts(slot_count, members)
-    total = sum(member.weight for member in known)
+    costs = Costs(participants, rates or {})
+    if costs.total < _MIN_TOTAL_RATE_PER_S and _is_any_rate_known(members):
+        return _plan_count_moves(slot_count, members)
+    total = sum(member.weight for member in participants)
     if not total:
         return []
-    shares = {member: member.weight / total for member in known}
-    room = {
+    shares = {member: member.weight / total for member in participants}
+    headroom = {
         member.incarnation: share - costs.member(member)
         for member, share in shares.items()
     }
     moves: list[Move] = []
-    for giver in sorted(known, key=lambda member: member.name):
-        share = shares[giver]
-        least = max(tolerance, _noise(giver.rate or 0.0, half_life)) * share
-        if giver.weight and -room[giver.incarnation] <= least:
+    for source in sorted(participants, key=lambda member: member.name):
+        share = shares[source]
+        noise = _relative_noise(source.rate or 0.0, half_life)
+        threshold = max(tolerance, noise) * share
+        if source.weight and -headroom[source.incarnation] <= threshold:
             continue
         moves += (strategy or plan_slot_moves)(
-            giver, known, costs, room, shares
+            source, participants, costs, headroom, shares
         )
     return moves
 
 
-def _is_idle(members: Sequence[Member]) -> bool:
-    """Returns whether it is known that owners have little to do.
+def _is_any_rate_known(members: Sequence[Member]) -> bool:
+    """Returns whether the load of at least one owner is known.
 
-    Where nothing is known of any owner, slots have just changed: then their
-    numbers would be evened out for nothing, and load right after.
+    If none is known, slots have just changed owners, as after a takeover.
+    Balancing their numbers then would only be followed by moves that balance
+    the load again.
     """
     return any(m.rate is not None for m in members if m.owned)
 
 
-def _noise(rate: float, half_life: float) -> float:
-    """Returns how far a measured rate may be off by chance, as a share."""
+def _relative_noise(rate: float, half_life: float) -> float:
+    """Returns the error that a measured rate may have by chance.
+
+    Args:
+        rate: Requests a second.
+        half_life: Half-life of the rate, seconds.
+
+    Returns:
+        The error as a fraction of the rate.
+    """
     counted = rate * loadstats.time_constant_s(half_life)
-    return _DEVIATIONS / max(1.0, counted) ** 0.5
+    return _MIN_DEVIATIONS / max(1.0, counted) ** 0.5
 
 
 def plan_slot_moves(
-    giver: Member,
+    source: Member,
     members: Sequence[Member],
     costs: Costs,
-    room: dict[str, float],
+    headroom: dict[str, float],
     shares: dict[Member, float],
 ) -> list[Move]:
-    """Moves slots of one giver, and takes their cost out of `room`."""
+    """Returns moves of single slots away from one member.
+
+    Args:
+        source: The member that gives slots away.
+        members: All members that take part.
+        costs: Costs of slots.
+        headroom: Share less cost of each incarnation; updated for each move.
+        shares: Shares of the members.
+    """
     moves: list[Move] = []
-    reason = "load" if giver.weight else "weight-zero"
-    share = shares[giver]
-    priced = [(costs.slot(slot, giver), slot) for slot in giver.owned]
-    takers = [member for member in members if member.weight]
-    for cost, slot in sorted(priced, reverse=True):
-        excess = -room[giver.incarnation]
-        if giver.weight and excess <= 0:
+    reason = "load" if source.weight else "weight-zero"
+    share = shares[source]
+    slot_costs = [(costs.slot(slot, source), slot) for slot in source.owned]
+    candidates = [member for member in members if member.weight]
+    for cost, slot in sorted(slot_costs, reverse=True):
+        excess = -headroom[source.incarnation]
+        if source.weight and excess <= 0:
             break
-        # A slot that can never fit here goes where it can; that member then
-        # gives others away.
-        fits = cost > share and [m for m in takers if shares[m] >= cost]
-        taker = max(
-            (m for m in fits or takers if m is not giver),
-            key=lambda member: (room[member.incarnation], member.name),
+        # A slot that costs more than the source's whole share goes to a
+        # member with a share that is large enough, even if that has no
+        # headroom: it then moves other slots away.
+        large_enough = cost > share and [
+            m for m in candidates if shares[m] >= cost
+        ]
+        destination = max(
+            (m for m in large_enough or candidates if m is not source),
+            key=lambda member: (headroom[member.incarnation], member.name),
             default=None,
         )
-        if taker is None:
+        if destination is None:
             break
-        helps = _helps(cost, excess, room[taker.incarnation], share)
-        if giver.weight and not (fits or helps):
+        worthwhile = _is_worthwhile(
+            cost, excess, headroom[destination.incarnation], share
+        )
+        if source.weight and not (large_enough or worthwhile):
             continue
-        room[giver.incarnation] += cost
-        room[taker.incarnation] -= cost
-        moves.append(Move(slot, giver.incarnation, taker.incarnation, reason))
+        headroom[source.incarnation] += cost
+        headroom[destination.incarnation] -= cost
+        moves.append(
+            Move(slot, source.incarnation, destination.incarnation, reason)
+        )
     return moves
 
 
 def plan_block_moves(
-    giver: Member,
+    source: Member,
     members: Sequence[Member],
     costs: Costs,
-    room: dict[str, float],
+    headroom: dict[str, float],
     shares: dict[Member, float],
 ) -> list[Move]:
-    """Moves neighbouring slots of one giver together, as few blocks.
+    """Returns moves of adjacent slots away from one member, in few blocks.
+
+    Used for ordered services, where each range of slots is granted to the
+    target on its own. Blocks are cut off at the ends of the source's ranges,
+    which keeps the number of ranges low.
 
-    Each block of an ordered service is one more run to be granted, so blocks
-    are cut off at the ends of the giver's runs.
+    Args:
+        source: The member that gives slots away.
+        members: All members that take part.
+        costs: Costs of slots.
+        headroom: Share less cost of each incarnation; updated for each move.
+        shares: Shares of the members.
     """
     moves: list[Move] = []
-    reason = "load" if giver.weight else "weight-zero"
-    left = sorted(giver.owned)
-    takers = [m for m in members if m.weight and m is not giver]
-    cost_of = {slot: costs.slot(slot, giver) for slot in left}
-    while left and takers:
-        excess = -room[giver.incarnation] if giver.weight else float("inf")
-        taker = max(takers, key=lambda m: (room[m.incarnation], m.name))
-        free = room[taker.incarnation]
-        if giver.weight and min(excess, free) <= shares[giver] * _TRIFLE:
+    reason = "load" if source.weight else "weight-zero"
+    left = sorted(source.owned)
+    candidates = [m for m in members if m.weight and m is not source]
+    cost_of = {slot: costs.slot(slot, source) for slot in left}
+    while left and candidates:
+        excess = (
+            -headroom[source.incarnation] if source.weight else float("inf")
+        )
+        destination = max(
+            candidates, key=lambda m: (headroom[m.incarnation], m.name)
+        )
+        free = headroom[destination.incarnation]
+        if (
+            source.weight
+            and min(excess, free) <= shares[source] * _MIN_COST_OF_SHARE
+        ):
             break
         block = _best_block(left, cost_of, min(excess, free))
         cost = sum(cost_of[slot] for slot in block)
-        if giver.weight and (
-            not block or not _helps(cost, excess, free, shares[giver])
+        if source.weight and (
+            not block or not _is_worthwhile(cost, excess, free, shares[source])
         ):
             break
         if not block:
             block = left[:1]
             cost = cost_of[left[0]]
-        room[giver.incarnation] += cost
-        room[taker.incarnation] -= cost
-        taken = set(block)
-        left = [slot for slot in left if slot not in taken]
+        headroom[source.incarnation] += cost
+        headroom[destination.incarnation] -= cost
+        moved = set(block)
+        left = [slot for slot in left if slot not in moved]
         moves += [
-            Move(slot, giver.incarnation, taker.incarnation, reason)
+            Move(slot, source.incarnation, destination.incarnation, reason)
             for slot in block
         ]
     return moves
 
 
 def _best_block(
-    owned: Sequence[int], cost_of: dict[int, float], wanted: float
+    owned: Sequence[int], cost_of: dict[int, float], wanted_cost: float
 ) -> list[int]:
-    """Returns the block at an end of a run whose cost is nearest to wanted.
+    """Returns the block at an end of a range that costs most within a bound.
 
     Args:
         owned: Slots, sorted.
-        cost_of: What each costs.
-        wanted: Cost that should not be exceeded by much.
+        cost_of: Costs by slot.
+        wanted_cost: Cost that may be exceeded by `_BLOCK_COST_FACTOR` only.
     """
     best: list[int] = []
     best_cost = 0.0
-    for run in _runs_of(owned):
-        for ordered in (run, run[::-1]):
+    for slot_range in _contiguous_ranges(owned):
+        for ordered in (slot_range, slot_range[::-1]):
             block: list[int] = []
             total = 0.0
             for slot in ordered:
-                if total + cost_of[slot] > wanted * _OVERSHOOT:
+                if total + cost_of[slot] > wanted_cost * _BLOCK_COST_FACTOR:
                     break
                 block.append(slot)
                 total += cost_of[slot]
@@ -304,67 +375,81 @@
                 best, best_cost = block, total
     if best:
         return best
-    # Hot slots at all ends: one from the middle is better than none.
-    fitting = [s for s in owned if cost_of[s] <= wanted * _OVERSHOOT]
+    # All slots at the ends cost too much: take a single one from within a
+    # range, at the price of one more range.
+    fitting = [
+        s for s in owned if cost_of[s] <= wanted_cost * _BLOCK_COST_FACTOR
+    ]
     return [max(fitting, key=cost_of.__getitem__)] if fitting else []
 
 
-def _runs_of(owned: Sequence[int]) -> list[list[int]]:
-    runs: list[list[int]] = []
+def _contiguous_ranges(owned: Sequence[int]) -> list[list[int]]:
+    ranges: list[list[int]] = []
     for slot in owned:
-        if runs and runs[-1][-1] == slot - 1:
-            runs[-1].append(slot)
+        if ranges and ranges[-1][-1] == slot - 1:
+            ranges[-1].append(slot)
         else:
-            runs.append([slot])
-    return runs
+            ranges.append([slot])
+    return ranges
 
 
-def _helps(cost: float, excess: float, room: float, share: float) -> bool:
-    """Returns whether a move is worth its churn.
+def _is_worthwhile(
+    cost: float, excess: float, free: float, share: float
+) -> bool:
+    """Returns whether the gain of a move justifies it.
+
+    The larger excess of the two members must become clearly smaller, and the
+    cost moved must not be negligible: otherwise all idle slots beside a hot
+    one would move away for next to nothing.
 
-    It must leave the fuller of the two a good deal less full than before,
-    and carry more than a trifle: cold slots stay beside a hot one.
+    Args:
+        cost: Cost that is moved.
+        excess: Cost of the source above its share.
+        free: Headroom of the destination.
+        share: Share of the source.
     """
-    return cost - room <= excess * _LEFT and cost >= share * _TRIFLE
+    return (
+        cost - free <= excess * _MAX_EXCESS_LEFT
+        and cost >= share * _MIN_COST_OF_SHARE
+    )
 
 
-def _plan_counts(slot_count: int, members: Sequence[Member]) -> list[Move]:
-    """Returns the moves that bring every member to its number of slots."""
+def _plan_count_moves(slot_count: int, members: Sequence[Member]) -> list[Move]:
+    """Returns the moves that bring every member to its quota of slots."""
     wanted = quotas(slot_count, members)
-    room = {
+    missing = {
         member.incarnation: wanted[member.incarnation] - len(member.owned)
         for member in members
     }
-    if not _worth_it(members, wanted, room):
+    if not _is_count_uneven(members, wanted, missing):
         return []
     moves: list[Move] = []
-    takers = sorted(
-        (member for member in members if room[member.incarnation] > 0),
-        key=lambda member: (-room[member.incarnation], member.name),
+    destinations = sorted(
+        (member for member in members if missing[member.incarnation] > 0),
+        key=lambda member: (-missing[member.incarnation], member.name),
     )
-    for giver in sorted(members, key=lambda member: member.name):
-        surplus = -room[giver.incarnation]
-        reason = "above-quota" if giver.weight else "weight-zero"
-        for slot in giver.owned[: max(0, surplus)]:
-            taker = next(
-                (taker for taker in takers if room[taker.incarnation] > 0),
-                None,
+    for source in sorted(members, key=lambda member: member.name):
+        surplus = -missing[source.incarnation]
+        reason = "above-quota" if source.weight else "weight-zero"
+        for slot in source.owned[: max(0, surplus)]:
+            destination = next(
+                (m for m in destinations if missing[m.incarnation] > 0), None
             )
-            if taker is None:
+            if destination is None:
                 return moves
-            room[taker.incarnation] -= 1
+            missing[destination.incarnation] -= 1
             moves.append(
-                Move(slot, giver.incarnation, taker.incarnation, reason)
+                Move(slot, source.incarnation, destination.incarnation, reason)
             )
     return moves
 
 
-def _worth_it(
-    members: Sequence[Member], wanted: dict[str, int], room: dict[str, int]
+def _is_count_uneven(
+    members: Sequence[Member], wanted: dict[str, int], missing: dict[str, int]
 ) -> bool:
     return any(
         (not member.weight and member.owned)
-        or abs(room[member.incarnation])
+        or abs(missing[member.incarnation])
         > max(1, int(wanted[member.incarnation] * _COUNT_TOLERANCE))
         for member in members
     )
@@ -376,14 +461,16 @@
     count: int,
     is_unresponsive: Callable[[str], bool],
 ) -> tuple[str, ...]:
-    """Returns witnesses in as many data centres as there are.
+    """Returns witnesses for an owner, from as many data centres as possible.
 
-    Present witnesses are kept where they can be.
+    Among candidates of equally used data centres, current witnesses are
+    preferred. The number of witnesses is always odd; it is lower than `count`
+    if there are too few candidates.
 
     Args:
-        owner: The record to be witnessed.
+        owner: Record of the owner.
         candidates: Open records, of any service.
-        count: How many are wanted; odd.
+        count: Number of witnesses; odd.
         is_unresponsive: Tells whether an incarnation does not answer.
     """
     usable = [
@@ -393,21 +480,22 @@
         and not record.leaving
         and not is_unresponsive(record.incarnation)
     ]
-    # A member without witnesses may never have come up whole.
-    settled = [record for record in usable if record.witnesses]
-    if len(settled) >= count:
-        usable = settled
+    # A daemon that has no witnesses of its own may never have started fully,
+    # so it is used only if there are too few others.
+    started = [record for record in usable if record.witnesses]
+    if len(started) >= count:
+        usable = started
     count = min(count, len(usable))
     count -= 1 - count % 2 if count else 0
     chosen: list[records.LeaseRecord] = []
-    kept = set(owner.witnesses)
+    current = set(owner.witnesses)
     while len(chosen) < count:
-        places = [record.data_centre for record in chosen]
+        data_centres = [record.data_centre for record in chosen]
         best = min(
             (record for record in usable if record not in chosen),
             key=lambda record: (
-                places.count(record.data_centre),
-                record.incarnation not in kept,
+                data_centres.count(record.data_centre),
+                record.incarnation not in current,
                 -score(owner.incarnation, record.incarnation),
             ),
         )
@@ -417,14 +505,23 @@
 
 def choose_successors(
     owner: records.LeaseRecord,
-    holdings: dict[types.Slot, slots.SlotAssignment],
+    assignments: dict[types.Slot, slots.SlotAssignment],
     members: Iterable[records.LeaseRecord],
 ) -> dict[types.Slot, slots.SlotAssignment]:
-    """Returns the holdings with a live successor for each slot.
+    """Returns the assignments with a successor for each slot.
+
+    Successors are up to `_MAX_SUCCESSORS` members that can own slots, outside
+    the owner's data centre if there are any, so that the loss of a VM or of a
+    data centre does not take owner and successor together. A slot keeps its
+    successor if that is still eligible.
+
+    Args:
+        owner: Record of the slots' owner.
+        assignments: The owner's slots.
+        members: Records of all members.
 
-    Slots spread over all other members, outside the owner's data centre
-    where possible, so that neither a server's nor a data centre's loss
-    takes owner and successor together. A present successor is kept.
+    Returns:
+        The same slots; without successors if no member is eligible.
     """
     others = [
         record
@@ -440,48 +537,55 @@
         (record.incarnation for record in outside or others),
         key=lambda name: score(owner.incarnation, name),
         reverse=True,
-    )[:_SUCCESSORS]
+    )[:_MAX_SUCCESSORS]
     if not names:
         return {
-            slot: msgspec.structs.replace(held, successor=types.NO_INCARNATION)
-            for slot, held in holdings.items()
+            slot: msgspec.structs.replace(
+                assignment, successor=types.NO_INCARNATION
+            )
+            for slot, assignment in assignments.items()
         }
-    return _spread(holdings, names)
+    return _spread_successors(assignments, names)
 
 
-def _spread(
-    holdings: dict[types.Slot, slots.SlotAssignment], names: Sequence[str]
+def _spread_successors(
+    assignments: dict[types.Slot, slots.SlotAssignment], names: Sequence[str]
 ) -> dict[types.Slot, slots.SlotAssignment]:
-    """Gives every candidate about as many slots to succeed to.
+    """Spreads slots evenly over the given successors.
 
-    Then a loss leaves the survivors even, and no further moves follow.
+    After a loss, the survivors then have about equal numbers of slots and
+    need no further moves.
     """
-    fair = -(-len(holdings) // len(names))
+    fair = -(-len(assignments) // len(names))
     most = fair + max(1, int(fair * _SUCCESSOR_SLACK))
     counts = dict.fromkeys(names, 0)
     chosen: dict[types.Slot, str] = {}
-    for slot, held in sorted(holdings.items()):
-        if counts.get(held.successor, most) < most:
-            chosen[slot] = held.successor
-            counts[held.successor] += 1
-    # Neighbouring slots get the same successor, up to its fair share: what
-    # is taken over stays in few runs.
+    for slot, assignment in sorted(assignments.items()):
+        if counts.get(assignment.successor, most) < most:
+            chosen[slot] = assignment.successor
+            counts[assignment.successor] += 1
+    # Adjacent slots get the same successor up to its fair share, so that the
+    # slots taken over form few ranges.
     name = ""
-    for slot in sorted(holdings.keys() - chosen.keys()):
+    for slot in sorted(assignments.keys() - chosen.keys()):
         if not name or counts[name] >= fair:
             name = min(
-                names, key=lambda name: (counts[name], -score(slot, name))
+                names,
+                key=lambda name: (counts[name], -score(slot, name)),
             )
         chosen[slot] = name
         counts[name] += 1
     return {
-        slot: msgspec.structs.replace(held, successor=chosen[slot])
-        for slot, held in holdings.items()
+        slot: msgspec.structs.replace(assignment, successor=chosen[slot])
+        for slot, assignment in assignments.items()
     }
 
 
 def choose_by_rendezvous(item: object, candidates: Iterable[str]) -> str:
-    """Returns the candidate with the highest score, or nobody."""
+    """Returns the candidate with the highest rendezvous hash for an item.
+
+    Returns `types.NO_INCARNATION` if there are no candidates.
+    """
     return max(
         candidates,
         key=lambda name: score(item, name),
--- a/tamarackgap/placement/records.py
+++ b/tamarackgap/placement/records.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's table, and this process's view of them."""
+"""Defines the rows of the table, and keeps this process's view of them."""
 
 from collections.abc import Iterable, Iterator
 
@@ -15,23 +15,26 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What the table holds for one incarnation of a daemon.
+    """Describes one incarnation of a daemon, its lease and its slots.
 
     Attributes:
-        service: The service of the daemon's target.
-        daemon: The daemon's name, kept over restarts.
-        incarnation: This process start's id.
-        data_centre: Where the VM stands.
+        service: Service of the daemon's target.
+        daemon: The daemon's name, which is kept across restarts.
+        incarnation: Id of this start of the daemon's process.
+        data_centre: Data centre of the VM.
         peer_address: `ip:port` for messages between daemons.
         http_address: `ip:port` for callers and operators.
-        epoch: Rises when witnesses, successors or slots are taken away.
-        witnesses: Incarnations whose majority of grants is the lease.
-        runs: The slots owned.
-        lease_ms: Length of a grant, milliseconds.
-        linger_ms: Longest run past the lease's end at a target that does
-            not check grants, milliseconds.
+        epoch: Epoch of the lease; it rises when witnesses, successors or
+            slots are removed.
+        witnesses: Incarnations that grant the lease; it holds while the
+            grants of a majority do.
+        runs: Ranges of slots that the incarnation owns.
+        lease_ms: Duration of a grant, milliseconds.
+        linger_ms: Longest time that a request may go on after the lease's
+            end at a target that does not check grants, milliseconds.
         accepting: Whether the daemon takes more slots.
-        leaving: Whether the daemon will end; it is no witness to choose.
+        leaving: Whether the daemon is about to end; it is then not chosen
+            as a witness.
         state: Whether the epoch may be in use.
         change: Id of the write that made this row.
     """
@@ -54,7 +57,7 @@
 
     @property
     def key(self) -> str:
-        """The row's key in the table."""
+        """Key of the row in the table."""
         return lease_key(self.incarnation)
 
     @property
@@ -64,23 +67,33 @@
 
     @property
     def can_own(self) -> bool:
-        """Whether the daemon may be given slots: a lease is possible."""
+        """Whether the daemon may be given slots.
+
+        Without witnesses it could get no lease.
+        """
         return self.accepting and bool(self.witnesses)
 
     def successors(self) -> list[str]:
-        """Returns the incarnations named to take slots over, sorted."""
-        return sorted({run.successor for run in self.runs if run.successor})
+        """Returns the successors of all slots, sorted."""
+        return sorted(
+            {
+                slot_range.successor
+                for slot_range in self.runs
+                if slot_range.successor
+            }
+        )
 
 
 class Challenge(msgspec.Struct, frozen=True):
-    """Asks an incarnation that nobody hears to show that it lives.
+    """Asks an incarnation that no daemon can reach to prove that it runs.
 
-    An owner stops by itself once it has not read the table for the anchor
-    time, so one that leaves a challenge unanswered for longer is over.
+    An owner stops on its own once it has not read the table for the anchor
+    time. The epoch of one that leaves a challenge unanswered for longer has
+    therefore ended.
 
     Attributes:
-        epoch: The epoch that is to end otherwise.
-        by: The incarnation that asks.
+        epoch: Epoch that is ended if there is no answer.
+        by: Incarnation that asks.
         change: Id of the write that made this row.
     """
 
@@ -90,7 +103,7 @@
 
 
 class ServiceRecord(msgspec.Struct, frozen=True):
-    """States that a service's slots have been given out once.
+    """Records that a service's slots have been given to owners once.
 
     Attributes:
         slots: Number of slots of the service; a power of two.
@@ -102,17 +115,18 @@
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """One row of the operators' table: a service in one data centre.
+    """Operators' limits for a service in one data centre.
 
     Attributes:
-        weight: Share of the slots, against other data centres' weights.
-        in_progress: Most requests in progress at one target; 0 leaves it
-            to what the target announces.
-        queue: Most requests waiting at one owner.
-        tolerance: Load above its share, percent, at which a daemon gives
-            slots away: higher for less churn.
-        moves: Most slots that a daemon gives away in a minute to even out;
-            draining is not bounded.
+        weight: Weight of each daemon's share of the slots, relative to the
+            weights in other data centres.
+        in_progress: Largest number of requests in progress at one target; 0
+            for the number that the target announces.
+        queue: Largest number of requests that wait at one owner.
+        tolerance: Load above its share, percent of the share, at which a
+            daemon gives slots away; a higher value causes fewer moves.
+        moves: Largest number of slots that a daemon gives away in a minute
+            to balance load; moves of a draining daemon are not limited.
         change: Id of the write that made this row.
     """
 
@@ -125,14 +139,14 @@
 
 
 class HistoryEntry(msgspec.Struct, frozen=True):
-    """One accepted edit of the operators' table.
+    """One accepted edit of a policy.
 
     Attributes:
         who: The operator.
         when_ms: Wall-clock time, milliseconds since 1970.
-        row: The edited row's key.
-        before: The row before, or None.
-        after: The row after.
+        row: Key of the edited row.
+        before: The policy before, or None.
+        after: The policy after.
     """
 
     who: str
@@ -143,12 +157,12 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row as the table gives it.
+    """A row as the table returns it.
 
     Attributes:
-        key: The row's key.
-        value: The row's JSON text, or None once deleted.
-        revision: The table's revision at the row's last change.
+        key: Key of the row.
+        value: JSON text of the row, or None if it was deleted.
+        revision: Revision of the table at the row's last change.
     """
 
     key: str
@@ -157,25 +171,35 @@
 
 
 class Check(msgspec.Struct, frozen=True):
-    """A condition of a transaction: the row's revision, 0 for absent."""
+    """A condition of a transaction: a row still has a certain revision.
+
+    Attributes:
+        key: Key of the row.
+        revision: Revision that the row must have; 0 if it must not exist.
+    """
 
     key: str
     revision: int
 
 
 class Write(msgspec.Struct, frozen=True):
-    """A row to write, or to delete where `value` is None."""
+    """A row to write.
+
+    Attributes:
+        key: Key of the row.
+        value: JSON text of the row, or None to delete it.
+    """
 
     key: str
     value: str | None
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that happen together, if all checks hold.
+    """Writes that are committed together if all checks hold.
 
     Attributes:
-        change: A fresh id, also written into the rows.
-        checks: Conditions.
+        change: Fresh id, which is also written into the rows.
+        checks: Conditions of the commit.
         writes: Rows to write.
     """
 
@@ -190,12 +214,17 @@
 
 
 def service_key(service: str) -> str:
-    """Returns the key of a service's founding row."""
+    """Returns the key of a service's record."""
     return SERVICE_PREFIX + service
 
 
 def policy_key(service: str, data_centre: str) -> str:
-    """Returns the key of an operators' row; `*` stands for any place."""
+    """Returns the key of a policy.
+
+    Args:
+        service: Service of the policy.
+        data_centre: Data centre of the policy; `*` for all others.
+    """
     return f"{POLICY_PREFIX}{service}/{data_centre}"
 
 
@@ -205,18 +234,18 @@
 
 
 def encode(row: msgspec.Struct) -> str:
-    """Returns a row as JSON text."""
+    """Returns the JSON text of a row."""
     return msgspec.json.encode(row).decode("utf-8")
 
 
 def _decode(key: str, value: str) -> msgspec.Struct | None:
-    for prefix, kind in _KINDS:
+    for prefix, row_type in _ROW_TYPES:
         if key.startswith(prefix):
-            return msgspec.json.decode(value, type=kind)
+            return msgspec.json.decode(value, type=row_type)
     return None
 
 
-_KINDS: tuple[tuple[str, type[msgspec.Struct]], ...] = (
+_ROW_TYPES: tuple[tuple[str, type[msgspec.Struct]], ...] = (
     (LEASE_PREFIX, LeaseRecord),
     (SERVICE_PREFIX, ServiceRecord),
     (POLICY_PREFIX, Policy),
@@ -225,25 +254,27 @@
 
 
 class TableView:
-    """The newest rows known here, merged by revision.
+    """Keeps the newest revision of each row that is known here.
 
-    Rows come from reads of the table and from peers, in any order; a row
-    only ever gives way to a later one, deletions included.
+    Rows come from reads of the table and from peers, in any order. A row is
+    only ever replaced by one of a higher revision, and a deletion is kept
+    like any other revision.
     """
 
     def __init__(self) -> None:
         self._rows: dict[str, tuple[int, msgspec.Struct | None]] = {}
-        # Everything up to here has been read from the table itself.
+        # All rows up to this revision were read from the table itself.
         self._cursor = types.Revision(0)
         self._leases: dict[str, LeaseRecord] = {}
-        # Open records by service, until one changes.
+        # Open records by service, None for all; cleared on any change of a
+        # lease record.
         self._members: dict[str | None, list[LeaseRecord]] = {}
         self._is_read = False
         self._version = 0
 
     @property
     def version(self) -> int:
-        """Rises with each row that was news."""
+        """Number of rows that were added or replaced so far."""
         return self._version
 
     @property
@@ -257,10 +288,15 @@
         return self._cursor
 
     def merge(self, rows: Iterable[Row]) -> list[str]:
-        """Takes rows in; returns the keys of those that were news.
+        """Adds or replaces the rows that are newer than those known here.
+
+        Returns:
+            Keys of the rows that were added or replaced.
 
         Raises:
-            msgspec.ValidationError: If a row has not the expected shape.
+            msgspec.DecodeError: If a row is not valid JSON.
+            msgspec.ValidationError: If a row lacks a field or has one of the
+                wrong type.
         """
         changed = []
         for row in rows:
@@ -270,68 +306,76 @@
             if row.value is not None:
                 value = _decode(row.key, row.value)
             self._rows[row.key] = (row.revision, value)
-            self._index(row.key, value)
+            self._index_lease(row.key, value)
             changed.append(row.key)
         self._version += len(changed)
         return changed
 
     def advance(self, revision: types.Revision) -> None:
-        """Notes that the table has been read up to `revision`."""
+        """Records that the table has been read up to `revision`."""
         self._cursor = max(self._cursor, revision)
         self._is_read = True
 
     def revision(self, key: str) -> int:
-        """Returns the revision of a row's last known change, or 0."""
+        """Returns a row's newest known revision, or 0 if it is not known."""
         return self._rows.get(key, (0, None))[0]
 
     def check(self, key: str) -> Check:
-        """Returns the condition that the row is still as it is here."""
+        """Returns the condition that a row is still as known here."""
         revision, value = self._rows.get(key, (0, None))
         return Check(key, revision if value is not None else 0)
 
     def lease(self, incarnation: str) -> LeaseRecord | None:
-        """Returns an incarnation's record, or None."""
+        """Returns the lease record of an incarnation, or None."""
         return self._leases.get(incarnation)
 
     def leases(self) -> Iterator[LeaseRecord]:
-        """Iterates over all lease records."""
+        """Returns an iterator over all lease records, closed ones too."""
         return iter(list(self._leases.values()))
 
     def service_record(self, service: str) -> ServiceRecord | None:
-        """Returns the founding row of a service, or None."""
+        """Returns the record of a service, or None."""
         return self._rows.get(service_key(service), (0, None))[1]
 
     def challenges(self) -> dict[str, Challenge]:
-        """Returns the challenges, by the incarnation that is asked."""
-        size = len(CHALLENGE_PREFIX)
+        """Returns all challenges, by challenged incarnation."""
+        prefix_length = len(CHALLENGE_PREFIX)
         return {
-            key[size:]: value
+            key[prefix_length:]: value
             for key, (_, value) in self._rows.items()
             if key.startswith(CHALLENGE_PREFIX) and value is not None
         }
 
     def services(self) -> set[str]:
-        """Returns the names of all founded services."""
-        size = len(SERVICE_PREFIX)
+        """Returns the names of all services that have a record."""
+        prefix_length = len(SERVICE_PREFIX)
         return {
-            key[size:]
+            key[prefix_length:]
             for key, (_, value) in self._rows.items()
             if key.startswith(SERVICE_PREFIX) and value is not None
         }
 
     def policy(self, service: str, data_centre: str) -> Policy:
-        """Returns the operators' row for a place, or the service's default."""
-        for place in (data_centre, "*"):
-            row = self._rows.get(policy_key(service, place), (0, None))[1]
+        """Returns the policy of a service in a data centre.
+
+        Without a policy for the data centre it is the service's policy for
+        `*`, and without that the default one.
+        """
+        for name in (data_centre, "*"):
+            row = self._rows.get(policy_key(service, name), (0, None))[1]
             if row is not None:
                 return row
         return Policy()
 
     def members(self, service: str | None = None) -> list[LeaseRecord]:
-        """Returns the open records, of one service or of all, sorted."""
-        found = self._members.get(service)
-        if found is None:
-            found = self._members[service] = sorted(
+        """Returns the open lease records, sorted by incarnation.
+
+        Args:
+            service: Service of the records; None for all services.
+        """
+        members = self._members.get(service)
+        if members is None:
+            members = self._members[service] = sorted(
                 (
                     record
                     for record in self._leases.values()
@@ -339,9 +383,9 @@
                 ),
                 key=lambda record: record.incarnation,
             )
-        return list(found)
+        return list(members)
 
-    def _index(self, key: str, value: msgspec.Struct | None) -> None:
+    def _index_lease(self, key: str, value: msgspec.Struct | None) -> None:
         if not key.startswith(LEASE_PREFIX):
             return
         self._members.clear()
--- a/tamarackgap/placement/slotowners.py
+++ b/tamarackgap/placement/slotowners.py
@@ -1,4 +1,4 @@
-"""Which incarnation owns each slot, as far as this process knows."""
+"""Keeps the owner of each slot, as far as this process knows."""
 
 import msgspec
 
@@ -6,14 +6,22 @@
 
 
 class SlotOwner(msgspec.Struct, frozen=True):
-    """A slot's owner; of two routes the one with the higher fence holds."""
+    """Owner of a slot under a fence; a higher fence replaces a lower one.
+
+    Attributes:
+        owner: Incarnation that owns the slot.
+        fence: Fence of the slot.
+    """
 
     owner: str
     fence: int
 
 
 class SlotOwners:
-    """Slot owners of all services. They only ever go forward by fence."""
+    """Known slot owners of all services.
+
+    The fence of a slot never decreases.
+    """
 
     def __init__(self) -> None:
         self._services: dict[str, dict[int, SlotOwner]] = {}
@@ -21,36 +29,51 @@
 
     @property
     def version(self) -> int:
-        """Rises with each route that was learnt."""
+        """Number of changes so far."""
         return self._version
 
-    def update(self, service: str, slot: int, route: SlotOwner) -> bool:
-        """Takes a route in; returns whether it was news."""
+    def update(self, service: str, slot: int, slot_owner: SlotOwner) -> bool:
+        """Records a slot's owner unless its fence is already known.
+
+        Args:
+            service: Service of the slot.
+            slot: The slot.
+            slot_owner: Its owner, from the table or from a peer.
+
+        Returns:
+            Whether the slot's owner has changed.
+        """
         known = self._services.setdefault(service, {})
-        present = known.get(slot)
-        if present is not None and present.fence >= route.fence:
+        current = known.get(slot)
+        if current is not None and current.fence >= slot_owner.fence:
             return False
-        known[slot] = route
+        known[slot] = slot_owner
         self._version += 1
         return True
 
     def update_from_record(self, record: records.LeaseRecord) -> int:
-        """Takes all routes of a lease record in; returns how many were new."""
+        """Records the owner of all slots in a lease record.
+
+        Returns:
+            Number of slots whose owner has changed.
+        """
         return sum(
             self.update(
-                record.service, slot, SlotOwner(record.incarnation, run.fence)
+                record.service,
+                slot,
+                SlotOwner(record.incarnation, slot_range.fence),
             )
-            for run in record.runs
-            for slot in range(run.first, run.last + 1)
+            for slot_range in record.runs
+            for slot in range(slot_range.first, slot_range.last + 1)
         )
 
     def find(self, service: str, slot: int) -> SlotOwner | None:
-        """Returns a slot's route, or None where none is known."""
+        """Returns a slot's owner, or None if it is not known."""
         return self._services.get(service, {}).get(slot)
 
     def slot_counts(self, service: str) -> dict[str, int]:
-        """Returns how many slots each owner has."""
+        """Returns the number of slots of each owner of a service."""
         totals: dict[str, int] = {}
-        for route in self._services.get(service, {}).values():
-            totals[route.owner] = totals.get(route.owner, 0) + 1
+        for slot_owner in self._services.get(service, {}).values():
+            totals[slot_owner.owner] = totals.get(slot_owner.owner, 0) + 1
         return totals
--- a/tamarackgap/placement/slots.py
+++ b/tamarackgap/placement/slots.py
@@ -1,4 +1,4 @@
-"""Keys hash to slots, or lie in them by order; slots are kept as runs."""
+"""Maps keys to slots, by hash or by order, and stores slots as ranges."""
 
 from collections.abc import Iterable
 
@@ -7,21 +7,22 @@
 
 from tamarackgap import types
 
-# Keys of an ordered service have positions below this, and neighbouring keys
-# share a slot.
+# Keys of an ordered service are positions below this number, and adjacent
+# positions share a slot.
 POSITION_COUNT = 65_536
 
 
 class SlotRange(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """Neighbouring slots with the same fence and successor.
+    """A range of slots with the same fence, successor and handover.
 
     Attributes:
-        first: The run's first slot.
-        last: The run's last slot, included.
-        fence: The fence of each slot of the run.
-        successor: The incarnation that takes the slots over; may be empty.
-        handover: What the target that released the slots last said to tell
-            the next one, or "".
+        first: First slot of the range.
+        last: Last slot of the range, inclusive.
+        fence: Fence of each slot.
+        successor: Incarnation that takes the slots over if their owner is
+            lost; may be empty.
+        handover: Text that a target returned when it released the slots, for
+            the target that holds them next; may be empty.
     """
 
     first: int
@@ -32,7 +33,7 @@
 
 
 class SlotAssignment(msgspec.Struct, array_like=True, frozen=True):
-    """One slot's fence, successor and handover."""
+    """Fence, successor and handover of a single slot, as in `SlotRange`."""
 
     fence: int
     successor: str = types.NO_INCARNATION
@@ -40,7 +41,7 @@
 
 
 def slot_of_key(key: types.Key, slot_count: int) -> types.Slot:
-    """Returns the slot of a key.
+    """Returns the slot of a key of a service that hashes its keys.
 
     Args:
         key: The key, at least one character.
@@ -54,45 +55,58 @@
     """Returns the slot of a key of an ordered service.
 
     Args:
-        position: The key's position, in [0, POSITION_COUNT).
+        position: Position of the key, in [0, POSITION_COUNT).
         slot_count: Number of slots of the service; a power of two.
     """
     return types.Slot(position * slot_count // POSITION_COUNT)
 
 
-def position_range(run: SlotRange, slot_count: int) -> tuple[int, int]:
-    """Returns the first and the last position of the keys of a run."""
+def position_range(slot_range: SlotRange, slot_count: int) -> tuple[int, int]:
+    """Returns the first and the last position of a range of slots.
+
+    Args:
+        slot_range: Slots of an ordered service.
+        slot_count: Number of slots of the service; a power of two.
+    """
     width = POSITION_COUNT // slot_count
-    return run.first * width, (run.last + 1) * width - 1
+    return slot_range.first * width, (slot_range.last + 1) * width - 1
 
 
-def expand(runs: Iterable[SlotRange]) -> dict[types.Slot, SlotAssignment]:
-    """Returns each slot's holding, from runs."""
+def expand(ranges: Iterable[SlotRange]) -> dict[types.Slot, SlotAssignment]:
+    """Returns the assignment of each slot in some ranges."""
     return {
-        types.Slot(slot): SlotAssignment(run.fence, run.successor, run.handover)
-        for run in runs
-        for slot in range(run.first, run.last + 1)
+        types.Slot(slot): SlotAssignment(
+            slot_range.fence, slot_range.successor, slot_range.handover
+        )
+        for slot_range in ranges
+        for slot in range(slot_range.first, slot_range.last + 1)
     }
 
 
 def compress(
-    holdings: dict[types.Slot, SlotAssignment],
+    assignments: dict[types.Slot, SlotAssignment],
 ) -> tuple[SlotRange, ...]:
-    """Returns the shortest sorted runs that hold the same as `holdings`."""
-    runs: list[SlotRange] = []
-    for slot in sorted(holdings):
-        held = holdings[slot]
-        last = runs[-1] if runs else None
+    """Returns the fewest sorted ranges that describe some assignments."""
+    ranges: list[SlotRange] = []
+    for slot in sorted(assignments):
+        assignment = assignments[slot]
+        last = ranges[-1] if ranges else None
         if (
             last is not None
             and last.last == slot - 1
-            and last.fence == held.fence
-            and last.successor == held.successor
-            and last.handover == held.handover
+            and last.fence == assignment.fence
+            and last.successor == assignment.successor
+            and last.handover == assignment.handover
         ):
-            runs[-1] = msgspec.structs.replace(last, last=slot)
+            ranges[-1] = msgspec.structs.replace(last, last=slot)
         else:
-            runs.append(
-                SlotRange(slot, slot, held.fence, held.successor, held.handover)
+            ranges.append(
+                SlotRange(
+                    slot,
+                    slot,
+                    assignment.fence,
+                    assignment.successor,
+                    assignment.handover,
+                )
             )
-    return tuple(runs)
+    return tuple(ranges)
--- a/tamarackgap/types.py
+++ b/tamarackgap/types.py
@@ -1,4 +1,4 @@
-"""Identifiers, states and verdicts that all other modules share."""
+"""Defines the identifiers, states and verdicts that all modules share."""
 
 import enum
 from typing import NewType
@@ -6,7 +6,7 @@
 ServiceName = NewType("ServiceName", str)
 DataCentre = NewType("DataCentre", str)
 DaemonName = NewType("DaemonName", str)
-# A fresh random id for each process start; never used twice.
+# A fresh random id for each start of a daemon; never used twice.
 Incarnation = NewType("Incarnation", str)
 RequestId = NewType("RequestId", str)
 Key = NewType("Key", str)
@@ -14,14 +14,15 @@
 Fence = NewType("Fence", int)
 Epoch = NewType("Epoch", int)
 Revision = NewType("Revision", int)
-# Seconds on one process's or VM's monotonic clock.
+# Seconds on the monotonic clock of one process or VM.
 Seconds = NewType("Seconds", float)
 
+# Stands for a missing owner, successor or sender.
 NO_INCARNATION = Incarnation("")
 
 
 class Verdict(enum.Enum):
-    """Whether a request's operation ran."""
+    """States whether a request was executed."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
@@ -29,7 +30,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused."""
+    """Reason why a request was refused."""
 
     BAD_REQUEST = "bad-request"
     UNKNOWN_SERVICE = "unknown-service"
@@ -41,9 +42,9 @@
     LEASE_EXPIRED = "lease-expired"
     TARGET_ABSENT = "target-absent"
     TARGET_REFUSED = "target-refused"
-    # It has no room, or it is another one than was meant, or it does not
-    # hold the key.
+    # The target has no free capacity.
     TARGET_FULL = "target-full"
+    # The target is not the one that was meant, or does not hold the key.
     TARGET_MISDIRECTED = "target-misdirected"
     TARGET_FAILED = "target-failed"
     ANSWER_TRUNCATED = "answer-truncated"
@@ -59,21 +60,24 @@
 
 
 class RecordState(enum.Enum):
-    """Whether a lease record's epoch may still be in use."""
+    """States whether the epoch of a lease record may still be in use."""
 
     OPEN = "open"
     CLOSED = "closed"
 
 
 class WitnessState(enum.Enum):
-    """What a witness will still do for one owner's epoch."""
+    """State of an owner's epoch at one of its witnesses."""
 
+    # The witness renews its grant.
     OPEN = "open"
-    # Renews no more; counts for a takeover without the table.
+    # The witness no longer renews; it counts towards the majority for a
+    # takeover without the table.
     SEALED = "sealed"
-    # Renews, but the epoch now ends only by a write to the table.
+    # The witness renews, but the epoch now ends only by a write to the table.
     RETIRED = "retired"
-    # Was retired and renews no more; counts for a takeover by the table.
+    # The witness was retired and no longer renews; it counts towards the
+    # majority for a takeover through the table.
     CLOSED = "closed"
     # The witness has seen a later epoch of this owner.
     SUPERSEDED = "superseded"
--- a/tamarackgap/verdicts.py
+++ b/tamarackgap/verdicts.py
@@ -1,4 +1,4 @@
-"""The result of a request: an answer, or a refusal that says if it ran."""
+"""Defines the result of a request: a target's answer or a refusal."""
 
 import msgspec
 from returns import result
@@ -7,12 +7,12 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A target's whole answer.
+    """A target's answer to a request.
 
     Attributes:
         status: HTTP status.
         content_type: Media type of the body.
-        body: The body.
+        body: Whole body.
     """
 
     status: int
@@ -21,11 +21,11 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """A request without an answer.
+    """The result of a request that got no answer.
 
     Attributes:
-        verdict: Whether its operation may have run.
-        reason: Why it was refused.
+        verdict: Whether the request may have been executed.
+        reason: Reason of the refusal.
     """
 
     verdict: types.Verdict
@@ -33,7 +33,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether the operation may have run."""
+        """Whether the request may have been executed."""
         return self.verdict is not types.Verdict.NOT_RUN
 
 
@@ -41,15 +41,15 @@
 
 
 def not_run(reason: types.Reason) -> Result:
-    """Returns the refusal of a request that certainly did not run."""
+    """Returns the refusal of a request that was certainly not executed."""
     return result.Failure(Refusal(types.Verdict.NOT_RUN, reason))
 
 
 def may_have_run(reason: types.Reason) -> Result:
-    """Returns the refusal of a request that may have run."""
+    """Returns the refusal of a request that may have been executed."""
     return result.Failure(Refusal(types.Verdict.MAY_HAVE_RUN, reason))
 
 
 def answered(status: int, content_type: str, body: bytes) -> Result:
-    """Returns the result of a request that was answered."""
+    """Returns the result of a request that a target answered."""
     return result.Success(Answer(status, content_type, body))
--- a/tests/peers/test_messages.py
+++ b/tests/peers/test_messages.py
@@ -15,14 +15,14 @@
 
 
 @pytest.mark.parametrize("message", EXAMPLES)
-def test_a_message_survives_the_wire(message):
-    sent = messages.Envelope("dep", "me", "127.0.0.1:1", message)
-    assert messages.decode(messages.encode(sent)) == sent
+def test_decode_reverses_encode(message):
+    envelope = messages.Envelope("dep", "me", "127.0.0.1:1", message)
+    assert messages.decode(messages.encode(envelope)) == envelope
 
 
-def test_names_of_fields_are_not_sent():
-    sent = messages.Envelope("dep", "me", "127.0.0.1:1", EXAMPLES[0])
-    assert b"revision" not in messages.encode(sent)
+def test_field_names_are_not_encoded():
+    envelope = messages.Envelope("dep", "me", "127.0.0.1:1", EXAMPLES[0])
+    assert b"revision" not in messages.encode(envelope)
 
 
 @pytest.mark.parametrize(
@@ -39,6 +39,6 @@
         messages.encode(messages.Envelope("d", "s", "a", EXAMPLES[0]))[:-2],
     ],
 )
-def test_a_malformed_frame_is_an_error(frame):
+def test_malformed_frame_is_rejected(frame):
     with pytest.raises((msgspec.MsgspecError, UnicodeDecodeError)):
         messages.decode(frame)
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -7,12 +7,12 @@
 from tamarackgap.network import sockets
 from tamarackgap.peers import messages, transport
 
-LARGEST = 10_000
-LINK_S = 5
+MAX_MESSAGE_BYTES = 10_000
+CONNECT_TIMEOUT_S = 5
 
 
 class Timers:
-    """Timers of which nothing becomes due."""
+    """Timers that never fire."""
 
     def each_turn(self, call):
         pass
@@ -22,49 +22,52 @@
 
 
 @pytest.fixture
-def three():
+def three_peers():
+    """Yields the transport, address and received envelopes of three peers."""
     base = ports.free_ports(3, 26_500)
-    found = []
+    peers = []
     for index in range(3):
-        got = []
+        received = []
         poller = module_types.SimpleNamespace(
             watch=lambda descriptor, flags, callback: None
         )
-        links = transport.PeerTransport(
+        peer_transport = transport.PeerTransport(
             poller,
             Timers(),
             "test",
             f"127.0.0.1:{base + index}",
-            LARGEST,
-            got.append,
+            MAX_MESSAGE_BYTES,
+            received.append,
         )
-        found.append((links, f"127.0.0.1:{base + index}", got))
-    yield found
-    for links, _, _ in found:
-        links.close()
+        peers.append((peer_transport, f"127.0.0.1:{base + index}", received))
+    yield peers
+    for peer_transport, _, _ in peers:
+        peer_transport.close()
 
 
-def test_one_message_to_many_is_encoded_once(three, monkeypatch):
-    (links, _, _), *others = three
+def test_message_to_several_peers_is_encoded_once(three_peers, monkeypatch):
+    (sender, _, _), *others = three_peers
     addresses = [address for _, address, _ in others]
-    links.set_peers(set(addresses))
+    sender.set_peers(set(addresses))
     encoded = []
     encode = messages.encode
 
-    def counted(envelope):
+    def count_and_encode(envelope):
         encoded.append(envelope)
         return encode(envelope)
 
-    monkeypatch.setattr(messages, "encode", counted)
-    end = time.monotonic() + LINK_S
-    while time.monotonic() < end and not all(got for _, _, got in others):
-        # Nothing waits for a link that is not there yet.
+    monkeypatch.setattr(messages, "encode", count_and_encode)
+    end = time.monotonic() + CONNECT_TIMEOUT_S
+    while time.monotonic() < end and not all(
+        received for _, _, received in others
+    ):
+        # A message to a peer that is not connected yet is dropped.
         del encoded[:]
-        links.send_all("me", addresses, messages.LoadReport(1.0))
+        sender.send_all("me", addresses, messages.LoadReport(1.0))
         assert len(encoded) == 1
         time.sleep(0.02)
-        for other, _, _ in others:
-            other._readable(sockets.READABLE)
-    for _, _, got in others:
-        assert got[0].message == messages.LoadReport(1.0)
-        assert got[0].sender == "me"
+        for receiver, _, _ in others:
+            receiver._readable(sockets.READABLE)
+    for _, _, received in others:
+        assert received[0].message == messages.LoadReport(1.0)
+        assert received[0].sender == "me"
--- a/tests/placement/test_loadstats.py
+++ b/tests/placement/test_loadstats.py
@@ -3,7 +3,7 @@
 from tamarackgap.placement import loadstats
 
 
-def test_a_steady_rate_is_found():
+def test_meter_measures_a_constant_rate():
     meter = loadstats.SlotMeter(0.0)
     for step in range(6000):
         now = step / 100
@@ -16,14 +16,14 @@
     assert rates[5] == pytest.approx(25, rel=0.02)
 
 
-def test_a_slot_that_came_lately_is_not_too_low():
+def test_rate_of_a_recent_slot_is_not_underestimated():
     meter = loadstats.SlotMeter(0.0)
     for step in range(300):
         meter.count(1, 50 + step / 100)
     assert meter.rates({1: 50.0}, 53.0)[1] == pytest.approx(100, rel=0.1)
 
 
-def test_old_load_is_forgotten():
+def test_rate_decays_without_requests():
     meter = loadstats.SlotMeter(0.0)
     for step in range(1000):
         meter.count(1, step / 100)
@@ -31,19 +31,19 @@
     assert meter.rates({1: 0.0}, 500.0)[1] == 0.0
 
 
-def test_a_hot_key_is_found_among_many():
-    keys = loadstats.HotKeySketch(0.0)
+def test_sketch_finds_a_hot_key_among_many():
+    sketch = loadstats.HotKeySketch(0.0)
     for number in range(4000):
-        keys.count(f"k{number}", 1.0)
+        sketch.count(f"cold-{number}", 1.0)
         if number % 4 == 0:
-            keys.count("famous", 1.0)
-    (first, *_) = keys.hottest(5)
-    assert first.key == "famous"
+            sketch.count("hot", 1.0)
+    (first, *_) = sketch.hottest(5)
+    assert first.key == "hot"
     assert 0.1 < first.share <= 0.2
 
 
-def test_last_minutes_keys_are_forgotten():
-    keys = loadstats.HotKeySketch(0.0)
-    keys.count("old", 1.0)
-    keys.count("new", 62.0)
-    assert [hot.key for hot in keys.hottest(5)] == ["new"]
+def test_sketch_drops_keys_of_the_last_period():
+    sketch = loadstats.HotKeySketch(0.0)
+    sketch.count("old", 1.0)
+    sketch.count("new", 62.0)
+    assert [hot_key.key for hot_key in sketch.hottest(5)] == ["new"]
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -5,62 +5,72 @@
 from tamarackgap.placement import placement, records, slots
 
 
-def member(name, owned, weight=100, place="a"):
-    return placement.Member(name, name, place, weight, tuple(owned), 0.0)
+def idle_member(name, owned, weight=100, data_centre="a"):
+    return placement.Member(name, name, data_centre, weight, tuple(owned), 0.0)
 
 
-def record(name, place, **changed):
+def loaded_member(name, owned, rate, weight=100):
+    return placement.Member(name, name, "a", weight, tuple(owned), rate)
+
+
+def lease_record(name, data_centre, **changed):
     values = {"accepting": True, "witnesses": ("w",), **changed}
     return records.LeaseRecord(
-        "seats", name, name, place, "127.0.0.1:1", "127.0.0.1:2", **values
+        "seats",
+        name,
+        name,
+        data_centre,
+        "127.0.0.1:1",
+        "127.0.0.1:2",
+        **values,
     )
 
 
-def shares(count, *weights):
-    members = [member(f"m{i}", (), w) for i, w in enumerate(weights)]
-    return list(placement.quotas(count, members).values())
+def quotas_by_weight(slot_count, *weights):
+    members = [idle_member(f"m{i}", (), w) for i, w in enumerate(weights)]
+    return list(placement.quotas(slot_count, members).values())
 
 
 def test_quotas_follow_weights_and_add_up():
-    assert shares(256, 100, 100, 200) == [64, 64, 128]
-    assert sum(shares(256, 1, 1, 1)) == 256
-    assert shares(16, 0, 5) == [0, 16]
-    assert shares(16, 0, 0) == [0, 0]
+    assert quotas_by_weight(256, 100, 100, 200) == [64, 64, 128]
+    assert sum(quotas_by_weight(256, 1, 1, 1)) == 256
+    assert quotas_by_weight(16, 0, 5) == [0, 16]
+    assert quotas_by_weight(16, 0, 0) == [0, 0]
 
 
-def test_an_even_spread_moves_nothing():
-    members = [member("a", range(85)), member("b", range(85, 171))]
-    members.append(member("c", range(171, 256)))
+def test_even_numbers_of_slots_cause_no_moves():
+    members = [idle_member("a", range(85)), idle_member("b", range(85, 171))]
+    members.append(idle_member("c", range(171, 256)))
     assert placement.plan_moves(256, members) == []
 
 
-def test_a_join_moves_only_the_fair_share():
-    members = [member("a", range(128)), member("b", range(128, 256))]
-    members.append(member("c", ()))
+def test_new_member_gets_exactly_its_quota():
+    members = [idle_member("a", range(128)), idle_member("b", range(128, 256))]
+    members.append(idle_member("c", ()))
     moves = placement.plan_moves(256, members)
     assert {move.destination for move in moves} == {"c"}
     assert len(moves) == placement.quotas(256, members)["c"]
 
 
-def test_weight_zero_empties_a_member():
-    members = [member("a", range(8), 0), member("b", range(8, 16))]
+def test_idle_member_of_weight_zero_gives_all_slots_away():
+    members = [idle_member("a", range(8), 0), idle_member("b", range(8, 16))]
     moves = placement.plan_moves(16, members)
     assert [move.slot for move in moves] == list(range(8))
     assert {move.reason for move in moves} == {"weight-zero"}
 
 
-def test_nothing_moves_when_nobody_can_take_it():
-    assert placement.plan_moves(16, [member("a", range(16), 0)]) == []
+def test_no_moves_without_a_member_of_positive_weight():
+    assert placement.plan_moves(16, [idle_member("a", range(16), 0)]) == []
 
 
-def test_carrying_the_plan_out_ends_it():
+def test_no_moves_are_left_after_a_plan_was_executed():
     owned = {"a": set(range(200)), "b": set(range(200, 256)), "c": set()}
     weights = {"a": 100, "b": 50, "c": 70}
 
     def members():
         return [
-            member(name, sorted(held), weights[name])
-            for name, held in owned.items()
+            idle_member(name, sorted(own), weights[name])
+            for name, own in owned.items()
         ]
 
     for move in placement.plan_moves(256, members()):
@@ -69,68 +79,74 @@
     assert placement.plan_moves(256, members()) == []
 
 
-@pytest.mark.parametrize(("others", "chosen"), [(2, 1), (3, 3), (6, 3)])
-def test_witnesses_are_odd_in_number_and_spread(others, chosen):
-    owner = record("o", "a")
-    rest = [record(f"r{i}", "abc"[i % 3]) for i in range(others)]
-    found = placement.choose_witnesses(owner, rest, 3, lambda name: False)
-    assert len(found) == chosen
-    places = {r.data_centre for r in rest if r.incarnation in found}
-    assert len(places) == chosen
-
-
-def test_present_witnesses_are_kept_and_silent_ones_are_not():
-    rest = [record(f"r{i}", "abc"[i % 3]) for i in range(9)]
-    owner = record("o", "a", witnesses=("r3", "r4", "r5"))
-    kept = placement.choose_witnesses(owner, rest, 3, lambda name: False)
+@pytest.mark.parametrize(
+    ("other_count", "witness_count"), [(2, 1), (3, 3), (6, 3)]
+)
+def test_witnesses_are_odd_in_number_and_from_many_data_centres(
+    other_count, witness_count
+):
+    owner = lease_record("o", "a")
+    others = [lease_record(f"r{i}", "abc"[i % 3]) for i in range(other_count)]
+    witnesses = placement.choose_witnesses(owner, others, 3, lambda name: False)
+    assert len(witnesses) == witness_count
+    data_centres = {r.data_centre for r in others if r.incarnation in witnesses}
+    assert len(data_centres) == witness_count
+
+
+def test_current_witnesses_are_kept_unless_unresponsive():
+    others = [lease_record(f"r{i}", "abc"[i % 3]) for i in range(9)]
+    owner = lease_record("o", "a", witnesses=("r3", "r4", "r5"))
+    kept = placement.choose_witnesses(owner, others, 3, lambda name: False)
     assert kept == ("r3", "r4", "r5")
-    found = placement.choose_witnesses(owner, rest, 3, lambda n: n == "r4")
-    assert {"r3", "r5"} < set(found)
-    assert "r4" not in found
+    witnesses = placement.choose_witnesses(
+        owner, others, 3, lambda n: n == "r4"
+    )
+    assert {"r3", "r5"} < set(witnesses)
+    assert "r4" not in witnesses
 
 
-def test_members_that_leave_are_no_witnesses():
-    rest = [record(f"r{i}", "abc"[i % 3]) for i in range(6)]
-    rest[1] = record("r1", "b", leaving=True)
-    found = placement.choose_witnesses(
-        record("o", "a"), rest, 5, lambda name: False
+def test_leaving_daemon_is_not_chosen_as_witness():
+    others = [lease_record(f"r{i}", "abc"[i % 3]) for i in range(6)]
+    others[1] = lease_record("r1", "b", leaving=True)
+    witnesses = placement.choose_witnesses(
+        lease_record("o", "a"), others, 5, lambda name: False
     )
-    assert "r1" not in found
+    assert "r1" not in witnesses
 
 
-def test_successors_are_many_and_in_other_data_centres():
-    owner = record("o", "a")
-    rest = [owner, *(record(f"r{i}", "abc"[i % 3]) for i in range(6))]
-    holdings = {slot: slots.SlotAssignment(1) for slot in range(200)}
-    found = placement.choose_successors(owner, holdings, rest)
-    counts = collections.Counter(held.successor for held in found.values())
+def test_successors_are_spread_over_other_data_centres():
+    owner = lease_record("o", "a")
+    others = [owner, *(lease_record(f"r{i}", "abc"[i % 3]) for i in range(6))]
+    assignments = {slot: slots.SlotAssignment(1) for slot in range(200)}
+    planned = placement.choose_successors(owner, assignments, others)
+    counts = collections.Counter(a.successor for a in planned.values())
     assert set(counts) == {"r1", "r2", "r4", "r5"}
     assert max(counts.values()) < 2 * min(counts.values())
 
 
-def test_a_successor_that_cannot_own_is_replaced():
-    owner = record("o", "a")
-    rest = [record("r1", "b"), record("r2", "b", accepting=False)]
-    holdings = {
+def test_successor_that_cannot_own_slots_is_replaced():
+    owner = lease_record("o", "a")
+    others = [lease_record("r1", "b"), lease_record("r2", "b", accepting=False)]
+    assignments = {
         0: slots.SlotAssignment(1, "r2"),
         1: slots.SlotAssignment(1, "r1"),
     }
-    found = placement.choose_successors(owner, holdings, rest)
-    assert {held.successor for held in found.values()} == {"r1"}
+    planned = placement.choose_successors(owner, assignments, others)
+    assert {a.successor for a in planned.values()} == {"r1"}
 
 
-def hot(name, owned, rate, weight=100):
-    return placement.Member(name, name, "a", weight, tuple(owned), rate)
+def execute_plans(members, rates, rounds=30):
+    """Lets each member in turn plan and execute its own moves.
 
-
-def carry(members, rates, rounds=30):
-    """Lets every member carry its own part of the plan out, in turns."""
+    Returns:
+        The slots of each member afterwards, and the number of moves.
+    """
     owned = {m.name: set(m.owned) for m in members}
     moved = 0
     for _ in range(rounds):
-        for giver in members:
-            now = [
-                hot(
+        for source in members:
+            current = [
+                loaded_member(
                     m.name,
                     sorted(owned[m.name]),
                     sum(rates.get(s, 0) for s in owned[m.name]),
@@ -138,44 +154,50 @@
                 )
                 for m in members
             ]
-            mine = {s: rates.get(s, 0) for s in owned[giver.name]}
-            for move in placement.plan_moves(64, now, mine):
-                if move.source == giver.name:
-                    owned[giver.name].remove(move.slot)
+            own_rates = {s: rates.get(s, 0) for s in owned[source.name]}
+            for move in placement.plan_moves(64, current, own_rates):
+                if move.source == source.name:
+                    owned[source.name].remove(move.slot)
                     owned[move.destination].add(move.slot)
                     moved += 1
     return owned, moved
 
 
-def test_load_is_evened_out_with_few_moves():
+def test_load_is_balanced_with_few_moves():
     rates = {slot: 2000 / (slot + 1) for slot in range(64)}
-    members = [hot(f"m{i}", range(16 * i, 16 * i + 16), 0) for i in range(4)]
-    owned, moved = carry(members, rates)
-    loads = [sum(rates[s] for s in held) for held in owned.values()]
+    members = [
+        loaded_member(f"m{i}", range(16 * i, 16 * i + 16), 0) for i in range(4)
+    ]
+    owned, moved = execute_plans(members, rates)
+    loads = [sum(rates[s] for s in own) for own in owned.values()]
     mean = sum(loads) / 4
-    # The hottest slot alone is more than the bound allows for.
+    # A slot can't be split, so the most loaded one sets a lower bound.
     assert max(loads) <= max(1.10 * mean, rates[0])
     assert moved <= 24
 
 
-def test_a_slot_too_hot_for_anybody_stays_and_others_leave_it():
+def test_slot_above_every_share_stays_and_the_others_move():
     rates = dict.fromkeys(range(64), 10.0) | {0: 3000.0}
-    members = [hot(f"m{i}", range(16 * i, 16 * i + 16), 0) for i in range(4)]
-    owned, _ = carry(members, rates)
+    members = [
+        loaded_member(f"m{i}", range(16 * i, 16 * i + 16), 0) for i in range(4)
+    ]
+    owned, _ = execute_plans(members, rates)
     assert owned["m0"] == {0}
 
 
-def test_with_even_load_nothing_moves():
+def test_even_load_causes_no_moves():
     rates = dict.fromkeys(range(64), 50.0)
-    members = [hot(f"m{i}", range(16 * i, 16 * i + 16), 0) for i in range(4)]
-    assert carry(members, rates)[1] == 0
+    members = [
+        loaded_member(f"m{i}", range(16 * i, 16 * i + 16), 0) for i in range(4)
+    ]
+    assert execute_plans(members, rates)[1] == 0
 
 
-def test_a_member_of_unknown_load_takes_no_part():
+def test_member_of_unknown_load_is_left_out():
     members = [
-        hot("a", range(8), 900.0),
-        hot("b", range(8, 12), 10.0),
-        hot("c", range(12, 16), None),
+        loaded_member("a", range(8), 900.0),
+        loaded_member("b", range(8, 12), 10.0),
+        loaded_member("c", range(12, 16), None),
     ]
     rates = dict.fromkeys(range(8), 112.5)
     moves = placement.plan_moves(16, members, rates)
@@ -183,53 +205,66 @@
     assert {move.destination for move in moves} == {"b"}
 
 
-def test_differences_that_may_be_chance_move_nothing():
-    members = [hot("a", range(8), 24.0), hot("b", range(8, 16), 18.0)]
+def test_differences_within_the_noise_cause_no_moves():
+    members = [
+        loaded_member("a", range(8), 24.0),
+        loaded_member("b", range(8, 16), 18.0),
+    ]
     assert placement.plan_moves(16, members, dict.fromkeys(range(8), 3.0)) == []
 
 
-def test_weight_zero_empties_a_loaded_member_too():
-    members = [hot("a", range(8), 80.0, weight=0), hot("b", range(8, 16), 80)]
+def test_loaded_member_of_weight_zero_gives_all_slots_away():
+    members = [
+        loaded_member("a", range(8), 80.0, weight=0),
+        loaded_member("b", range(8, 16), 80),
+    ]
     moves = placement.plan_moves(16, members, dict.fromkeys(range(8), 10.0))
     assert sorted(move.slot for move in moves) == list(range(8))
 
 
-def test_a_slot_too_hot_for_a_small_member_goes_to_a_greater_one():
+def test_slot_above_a_small_share_goes_to_a_member_with_a_larger_one():
     rates = dict.fromkeys(range(64), 10.0) | {0: 150.0}
     members = [
-        hot("small", range(8), 0, weight=10),
-        hot("great", range(8, 64), 0, weight=100),
+        loaded_member("small", range(8), 0, weight=10),
+        loaded_member("large", range(8, 64), 0, weight=100),
     ]
-    owned, _ = carry(members, rates)
-    assert 0 in owned["great"]
+    owned, _ = execute_plans(members, rates)
+    assert 0 in owned["large"]
 
 
-def test_an_evened_out_load_stays_as_it_is():
+def test_balanced_load_causes_no_further_moves():
     rates = {slot: 2000 / (slot + 1) for slot in range(64)}
-    members = [hot(f"m{i}", range(16 * i, 16 * i + 16), 0) for i in range(4)]
-    _, moved = carry(members, rates, rounds=10)
-    _, moved_longer = carry(members, rates, rounds=60)
+    members = [
+        loaded_member(f"m{i}", range(16 * i, 16 * i + 16), 0) for i in range(4)
+    ]
+    _, moved = execute_plans(members, rates, rounds=10)
+    _, moved_longer = execute_plans(members, rates, rounds=60)
     assert moved == moved_longer
 
 
-def test_a_lost_daemons_slots_go_to_a_bounded_number_of_others():
-    owner = record("o", "a")
-    rest = [record(f"r{i}", "bc"[i % 2]) for i in range(40)]
-    holdings = {slot: slots.SlotAssignment(1) for slot in range(200)}
-    found = placement.choose_successors(owner, holdings, rest)
-    first = {held.successor for held in found.values()}
-    assert len(first) == 8
-    # Losing one of them changes only the slots that it would have had.
-    fewer = [r for r in rest if r.incarnation != min(first)]
-    again = placement.choose_successors(owner, found, fewer)
-    changed = [s for s in found if again[s].successor != found[s].successor]
-    assert {found[s].successor for s in changed} == {min(first)}
-
-
-def test_right_after_a_loss_nothing_else_moves():
-    # With the loads of all owners unknown for the moment, numbers of slots
-    # were evened out: a loss moved 46 slots where 24 were lost.
-    members = [hot("a", range(20), None), hot("b", range(20, 24), None)]
+def test_number_of_successors_is_limited():
+    owner = lease_record("o", "a")
+    others = [lease_record(f"r{i}", "bc"[i % 2]) for i in range(40)]
+    assignments = {slot: slots.SlotAssignment(1) for slot in range(200)}
+    planned = placement.choose_successors(owner, assignments, others)
+    successors = {a.successor for a in planned.values()}
+    assert len(successors) == 8
+    # The loss of a successor changes only the slots that had it.
+    remaining = [r for r in others if r.incarnation != min(successors)]
+    replanned = placement.choose_successors(owner, planned, remaining)
+    changed = [
+        s for s in planned if replanned[s].successor != planned[s].successor
+    ]
+    assert {planned[s].successor for s in changed} == {min(successors)}
+
+
+def test_no_moves_while_all_loads_are_unknown():
+    # Right after a takeover all loads are unknown. Balancing by number then
+    # moved 46 slots after a loss of 24.
+    members = [
+        loaded_member("a", range(20), None),
+        loaded_member("b", range(20, 24), None),
+    ]
     assert (
         placement.plan_moves(24, members, dict.fromkeys(range(20), 9.0)) == []
     )
--- a/tests/placement/test_records.py
+++ b/tests/placement/test_records.py
@@ -12,14 +12,14 @@
     return records.Row(record.key, records.encode(record), revision)
 
 
-def test_a_row_never_goes_back():
+def test_older_revision_does_not_replace_a_row():
     view = records.TableView()
     view.merge([lease_row("i", 5, epoch=2)])
     assert view.merge([lease_row("i", 4, epoch=1)]) == []
     assert view.lease("i").epoch == 2
 
 
-def test_a_deleted_row_stays_deleted():
+def test_older_revision_does_not_restore_a_deleted_row():
     view = records.TableView()
     view.merge([records.Row("lease/i", None, 7)])
     view.merge([lease_row("i", 6)])
@@ -27,7 +27,7 @@
     assert view.check("lease/i") == records.Check("lease/i", 0)
 
 
-def test_a_place_without_a_row_has_the_services_default():
+def test_policy_falls_back_to_the_service_then_to_the_default():
     view = records.TableView()
     row = records.encode(records.Policy(weight=7))
     view.merge([records.Row("policy/s/*", row, 1)])
@@ -35,12 +35,12 @@
     assert view.policy("t", "a").weight == 100
 
 
-def test_a_malformed_row_is_an_error():
+def test_malformed_row_is_rejected():
     with pytest.raises(msgspec.ValidationError):
         records.TableView().merge([records.Row("lease/i", '{"service": 4}', 1)])
 
 
-def test_a_view_counts_as_read_only_after_a_read():
+def test_view_is_read_only_after_a_read_of_the_table():
     view = records.TableView()
     view.merge([lease_row("i", 5)])
     assert not view.is_read
@@ -49,7 +49,7 @@
     assert view.cursor == 5
 
 
-def test_members_follow_each_record_that_opens_or_closes():
+def test_members_are_the_open_records():
     view = records.TableView()
     view.merge([lease_row("b", 1), lease_row("a", 2)])
     assert [record.incarnation for record in view.members("s")] == ["a", "b"]
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -6,11 +6,11 @@
 
 from tamarackgap import logs
 
-# Generous for twenty thousand lines; a process that waits never ends.
-STALLED_S = 30.0
+# Long enough for 20,000 lines; a process that waits for its reader never ends.
+TIMEOUT_S = 30.0
 
 
-def line(**fields):
+def format_request_event(**fields):
     message = {
         "timestamp": 0.0,
         "task_uuid": "u",
@@ -21,9 +21,9 @@
     return logs.format_line(message)
 
 
-def test_a_line_is_pairs_of_key_and_value():
+def test_line_consists_of_key_value_pairs():
     assert (
-        line(slot=3, lease_left=0.5, alone=True)
+        format_request_event(slot=3, lease_left=0.5, alone=True)
         == "time=1970-01-01T00:00:00.000Z event=request slot=3"
         " lease_left=0.5 alone=true"
     )
@@ -40,18 +40,16 @@
         ("plain-1:2/3", "plain-1:2/3"),
     ],
 )
-def test_a_value_is_quoted_where_it_must_be(value, shown):
-    found = line(key=value)
-    assert found.endswith(f" key={shown}")
-    assert "\n" not in found
+def test_value_is_quoted_if_necessary(value, shown):
+    line = format_request_event(key=value)
+    assert line.endswith(f" key={shown}")
+    assert "\n" not in line
 
 
-_CHATTER = """
+_LOGGING_PROGRAM = """
 import time
 from tamarackgap import logs
 
-# Generous for twenty thousand lines; a process that waits never ends.
-STALLED_S = 30.0
 logs.start("stdout", "d1")
 begun = time.monotonic()
 for number in range(20000):
@@ -62,21 +60,21 @@
 """
 
 
-def test_a_reader_that_stalls_holds_nothing_up():
+def test_stalled_reader_does_not_block_the_program():
     process = subprocess.Popen(
-        [sys.executable, "-c", _CHATTER],
+        [sys.executable, "-c", _LOGGING_PROGRAM],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
     )
-    # Nobody reads its output until all events have been written.
-    assert float(process.stderr.readline()) < STALLED_S
+    # Its standard output is read only after all events were logged.
+    assert float(process.stderr.readline()) < TIMEOUT_S
     first = process.stdout.read(1 << 15)
     process.stdin.write("\n")
     process.stdin.close()
     lines = (first + process.stdout.read()).splitlines()
-    assert process.wait(timeout=STALLED_S) == 0
+    assert process.wait(timeout=TIMEOUT_S) == 0
     assert all(" event=" in f" {line}" for line in lines)
     counted = [line for line in lines if "event=counted" in line]
     lost = [line for line in lines if "event=log_lines_lost" in line]
@@ -86,7 +84,7 @@
     assert "event=last" in lines[-1]
 
 
-def test_requests_that_failed_have_lines_of_their_own():
+def test_failed_requests_have_a_separate_limit():
     written = []
     eliot.add_destinations(written.append)
     try:
