--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -13,30 +13,30 @@
 from tamarackgap import types
 from tamarackgap.placement import loadstats, records, slots
 
-# Below this total of all members, only numbers of slots are balanced.
+# If all members together serve less, only numbers of slots are balanced.
 _MIN_TOTAL_RATE_PER_S = 20.0
-# The part of a slot's cost that comes from its load. The rest is the same for
-# all slots, so that idle slots are spread evenly too.
+# Fraction of the total cost that load accounts for. The rest is the same for
+# each slot, so that idle slots are spread evenly too.
 _LOAD_WEIGHT = 0.9
 # After a move, the destination may exceed its share by at most this fraction
 # of the source's excess before the move.
 _MAX_EXCESS_LEFT = 0.9
 # Costs below this fraction of the source's share are not worth a move.
 _MIN_COST_OF_SHARE = 0.005
-# A block may cost this factor of the wanted cost; with a strict bound it would
-# often end one slot too early.
+# A block may exceed the wanted cost by this factor; otherwise it would often
+# be one slot short.
 _BLOCK_COST_FACTOR = 1.1
-# A load above the share counts only if it differs from the share by more
-# standard deviations of the measured rate than this.
+# A member gives slots away only if its rate exceeds its share by this many
+# standard deviations of the measurement.
 _MIN_DEVIATIONS = 3.0
-# Numbers of slots are exact, unlike rates, so their tolerance is lower. It is
-# a fraction of the quota.
+# Fraction of the quota. It is lower than the tolerance for load, because
+# numbers of slots are exact.
 _COUNT_TOLERANCE = 0.02
-# Limits both the writes after a loss (each successor makes one) and the load
-# that each successor gets on top of its own (an eighth of the lost one).
+# After a loss, each successor makes one write and gets an eighth of the lost
+# load on top of its own.
 _MAX_SUCCESSORS = 8
-# A successor is replaced only if it has more slots than its fair share by this
-# fraction, because each change costs a new epoch.
+# Fraction of the fair share by which a successor may exceed it before slots
+# get another successor: each change costs a new epoch.
 _SUCCESSOR_SLACK = 0.25
 
 
@@ -79,7 +79,7 @@
 
 
 def score(item: object, candidate: str) -> int:
-    """Returns the weight of a candidate for an item; the highest wins."""
+    """Returns a candidate's rendezvous hash for an item; the highest wins."""
     return xxhash.xxh3_64_intdigest(f"{item}/{candidate}".encode())
 
 
@@ -207,8 +207,10 @@
     moves: list[Move] = []
     for source in sorted(participants, key=lambda member: member.name):
         share = shares[source]
-        noise = _relative_noise(source.rate or 0.0, half_life)
-        threshold = max(tolerance, noise) * share
+        threshold = (
+            max(tolerance, _relative_noise(source.rate or 0.0, half_life))
+            * share
+        )
         if source.weight and -headroom[source.incarnation] <= threshold:
             continue
         moves += (strategy or plan_slot_moves)(
--- a/tamarackgap/placement/records.py
+++ b/tamarackgap/placement/records.py
@@ -373,9 +373,9 @@
         Args:
             service: Service of the records; None for all services.
         """
-        members = self._members.get(service)
-        if members is None:
-            members = self._members[service] = sorted(
+        open_records = self._members.get(service)
+        if open_records is None:
+            open_records = self._members[service] = sorted(
                 (
                     record
                     for record in self._leases.values()
@@ -383,7 +383,7 @@
                 ),
                 key=lambda record: record.incarnation,
             )
-        return list(members)
+        return list(open_records)
 
     def _index_lease(self, key: str, value: msgspec.Struct | None) -> None:
         if not key.startswith(LEASE_PREFIX):
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -46,9 +46,9 @@
 
 
 def test_message_to_several_peers_is_encoded_once(three_peers, monkeypatch):
-    (sender, _, _), *others = three_peers
+    (own, _, _), *others = three_peers
     addresses = [address for _, address, _ in others]
-    sender.set_peers(set(addresses))
+    own.set_peers(set(addresses))
     encoded = []
     encode = messages.encode
 
@@ -63,7 +63,7 @@
     ):
         # A message to a peer that is not connected yet is dropped.
         del encoded[:]
-        sender.send_all("me", addresses, messages.LoadReport(1.0))
+        own.send_all("me", addresses, messages.LoadReport(1.0))
         assert len(encoded) == 1
         time.sleep(0.02)
         for receiver, _, _ in others:
--- a/tests/placement/test_placement.py
+++ b/tests/placement/test_placement.py
@@ -9,10 +9,6 @@
     return placement.Member(name, name, data_centre, weight, tuple(owned), 0.0)
 
 
-def loaded_member(name, owned, rate, weight=100):
-    return placement.Member(name, name, "a", weight, tuple(owned), rate)
-
-
 def lease_record(name, data_centre, **changed):
     values = {"accepting": True, "witnesses": ("w",), **changed}
     return records.LeaseRecord(
@@ -119,7 +115,9 @@
     others = [owner, *(lease_record(f"r{i}", "abc"[i % 3]) for i in range(6))]
     assignments = {slot: slots.SlotAssignment(1) for slot in range(200)}
     planned = placement.choose_successors(owner, assignments, others)
-    counts = collections.Counter(a.successor for a in planned.values())
+    counts = collections.Counter(
+        assignment.successor for assignment in planned.values()
+    )
     assert set(counts) == {"r1", "r2", "r4", "r5"}
     assert max(counts.values()) < 2 * min(counts.values())
 
@@ -132,7 +130,11 @@
         1: slots.SlotAssignment(1, "r1"),
     }
     planned = placement.choose_successors(owner, assignments, others)
-    assert {a.successor for a in planned.values()} == {"r1"}
+    assert {assignment.successor for assignment in planned.values()} == {"r1"}
+
+
+def loaded_member(name, owned, rate, weight=100):
+    return placement.Member(name, name, "a", weight, tuple(owned), rate)
 
 
 def execute_plans(members, rates, rounds=30):
@@ -247,7 +249,7 @@
     others = [lease_record(f"r{i}", "bc"[i % 2]) for i in range(40)]
     assignments = {slot: slots.SlotAssignment(1) for slot in range(200)}
     planned = placement.choose_successors(owner, assignments, others)
-    successors = {a.successor for a in planned.values()}
+    successors = {assignment.successor for assignment in planned.values()}
     assert len(successors) == 8
     # The loss of a successor changes only the slots that had it.
     remaining = [r for r in others if r.incarnation != min(successors)]
