--- a/tamarackgap/metrics.py
+++ b/tamarackgap/metrics.py
@@ -102,7 +102,7 @@
         """Sets a gauge.
 
         Raises:
-            KeyError: If `name` is not in `_GAUGES`.
+            KeyError: If there is no gauge of that name.
         """
         self._gauges[name].set({}, value)
 
--- a/tamarackgap/peers/calls.py
+++ b/tamarackgap/peers/calls.py
@@ -100,9 +100,9 @@
     """Reports a crash of a target and the requests that it was executing.
 
     Attributes:
-        fingerprints: Start and end of the execution by fingerprint of the
-            request, seconds before the message was sent. Ends differ, since
-            the connections to a crashed target close one by one.
+        fingerprints: Start and end of each request's execution, by its
+            fingerprint, seconds before the message was sent. The ends
+            differ, since executions end one by one.
     """
 
     fingerprints: dict[str, tuple[float, float]]
@@ -111,7 +111,7 @@
 class ContentCleared(
     msgspec.Struct, tag="content-cleared", array_like=True, frozen=True
 ):
-    """Reports the answer to a request that an earlier crash had involved."""
+    """Reports that a request involved in an earlier crash was answered."""
 
     fingerprint: str
 
--- a/tamarackgap/peers/transport.py
+++ b/tamarackgap/peers/transport.py
@@ -82,7 +82,7 @@
         self.dropped_messages = 0
         self.malformed_frames = 0
         poller.watch(
-            self._inbox.getsockopt(zmq.FD), sockets.READABLE, self._readable
+            self._inbox.getsockopt(zmq.FD), sockets.READABLE, self._on_readable
         )
         self._has_more = False
         timers.each_turn(self._drain_rest)
@@ -115,7 +115,7 @@
             True if the message was handed to a connection, where it may
             still be lost; False if it will never arrive.
         """
-        return self._send(address, self._frame(sender, message))
+        return self._send(address, self._encode(sender, message))
 
     def send_all(
         self, sender: str, addresses: Iterable[str], message: messages.Message
@@ -129,11 +129,11 @@
             addresses: `ip:port` of the receivers.
             message: The message.
         """
-        frame = self._frame(sender, message)
+        frame = self._encode(sender, message)
         for address in addresses:
             self._send(address, frame)
 
-    def _frame(self, sender: str, message: messages.Message) -> bytes:
+    def _encode(self, sender: str, message: messages.Message) -> bytes:
         return messages.encode(
             messages.Envelope(self._deployment, sender, self._address, message)
         )
@@ -168,7 +168,7 @@
             self._outboxes[address] = outbox
         return outbox
 
-    def _readable(self, flags: int) -> None:
+    def _on_readable(self, flags: int) -> None:
         del flags
         self._drain()
 
--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -23,8 +23,8 @@
 _MAX_EXCESS_LEFT = 0.9
 # Costs below this fraction of the source's share are not worth a move.
 _MIN_COST_OF_SHARE = 0.005
-# A block may exceed the wanted cost by this factor; otherwise it would often
-# be one slot short.
+# A block may cost up to this multiple of the wanted cost; otherwise it would
+# often be one slot short.
 _BLOCK_COST_FACTOR = 1.1
 # A member gives slots away only if its rate exceeds its share by this many
 # standard deviations of the measurement.
@@ -134,12 +134,11 @@
     def __init__(
         self, members: Sequence[Member], rates: dict[int, float]
     ) -> None:
-        """Creates a model from measured rates.
+        """Creates costs from measured rates.
 
         Args:
             members: Members that take part; a missing rate counts as 0.
-            rates: Requests a second of those slots that were measured
-                singly.
+            rates: Requests a second of slots whose own rate is known.
         """
         self.total = sum(member.rate or 0.0 for member in members) or 1.0
         count = sum(len(member.owned) for member in members)
@@ -182,7 +181,7 @@
     Args:
         slot_count: Number of slots of the service.
         members: All members that own slots or may own some.
-        rates: Requests a second of those slots that were measured singly.
+        rates: Requests a second of slots whose own rate is known.
         tolerance: Excess over its share at which a member gives slots away,
             as a fraction of the share.
         half_life: Half-life of the rates, seconds.
@@ -223,8 +222,8 @@
     """Returns whether the load of at least one owner is known.
 
     If none is known, slots have just changed owners, as after a takeover.
-    Balancing their numbers then would only be followed by moves that balance
-    the load again.
+    Balancing numbers of slots then causes moves in vain, since the load is
+    balanced soon after.
     """
     return any(m.rate is not None for m in members if m.owned)
 
@@ -269,8 +268,8 @@
         if source.weight and excess <= 0:
             break
         # A slot that costs more than the source's whole share goes to a
-        # member with a share that is large enough, even if that has no
-        # headroom: it then moves other slots away.
+        # member with a large enough share, even if that has no headroom: it
+        # then moves other slots away.
         large_enough = cost > share and [
             m for m in candidates if shares[m] >= cost
         ]
--- a/tamarackgap/placement/records.py
+++ b/tamarackgap/placement/records.py
@@ -7,6 +7,7 @@
 from tamarackgap import types
 from tamarackgap.placement import slots
 
+# Stored keys begin with these prefixes, so their texts must not change.
 LEASE_PREFIX = "lease/"
 SERVICE_PREFIX = "founded/"
 POLICY_PREFIX = "policy/"
@@ -115,7 +116,7 @@
 
 
 class Policy(msgspec.Struct, frozen=True):
-    """Operators' limits for a service in one data centre.
+    """Operators' settings for a service in one data centre.
 
     Attributes:
         weight: Weight of each daemon's share of the slots, relative to the
@@ -274,7 +275,7 @@
 
     @property
     def version(self) -> int:
-        """Number of rows that were added or replaced so far."""
+        """Number of changes to rows so far."""
         return self._version
 
     @property
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -67,7 +67,7 @@
         assert len(encoded) == 1
         time.sleep(0.02)
         for receiver, _, _ in others:
-            receiver._readable(sockets.READABLE)
+            receiver._on_readable(sockets.READABLE)
     for _, _, received in others:
         assert received[0].message == messages.LoadReport(1.0)
         assert received[0].sender == "me"
