--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -236,7 +236,7 @@
         half_life: Half-life of the rate, seconds.
 
     Returns:
-        The error as a fraction of the rate.
+        Error as a fraction of the rate.
     """
     counted = rate * loadstats.time_constant_s(half_life)
     return _MIN_DEVIATIONS / max(1.0, counted) ** 0.5
@@ -465,8 +465,8 @@
     """Returns witnesses for an owner, from as many data centres as possible.
 
     Among candidates of equally used data centres, current witnesses are
-    preferred. The number of witnesses is always odd; it is lower than `count`
-    if there are too few candidates.
+    preferred. If there are too few candidates, the result is a smaller odd
+    number of them, or none.
 
     Args:
         owner: Record of the owner.
@@ -511,10 +511,10 @@
 ) -> dict[types.Slot, slots.SlotAssignment]:
     """Returns the assignments with a successor for each slot.
 
-    Successors are up to `_MAX_SUCCESSORS` members that can own slots, outside
-    the owner's data centre if there are any, so that the loss of a VM or of a
-    data centre does not take owner and successor together. A slot keeps its
-    successor if that is still eligible.
+    Successors are up to eight members that can own slots, outside the owner's
+    data centre if there are any, so that the loss of a VM or of a data centre
+    does not take owner and successor together. A slot keeps its successor if
+    that is still eligible and has not too many slots.
 
     Args:
         owner: Record of the slots' owner.
@@ -557,19 +557,19 @@
     After a loss, the survivors then have about equal numbers of slots and
     need no further moves.
     """
-    fair = -(-len(assignments) // len(names))
-    most = fair + max(1, int(fair * _SUCCESSOR_SLACK))
+    fair_count = -(-len(assignments) // len(names))
+    max_count = fair_count + max(1, int(fair_count * _SUCCESSOR_SLACK))
     counts = dict.fromkeys(names, 0)
     chosen: dict[types.Slot, str] = {}
     for slot, assignment in sorted(assignments.items()):
-        if counts.get(assignment.successor, most) < most:
+        if counts.get(assignment.successor, max_count) < max_count:
             chosen[slot] = assignment.successor
             counts[assignment.successor] += 1
     # Adjacent slots get the same successor up to its fair share, so that the
     # slots taken over form few ranges.
     name = ""
     for slot in sorted(assignments.keys() - chosen.keys()):
-        if not name or counts[name] >= fair:
+        if not name or counts[name] >= fair_count:
             name = min(
                 names,
                 key=lambda name: (counts[name], -score(slot, name)),
@@ -585,7 +585,7 @@
 def choose_by_rendezvous(item: object, candidates: Iterable[str]) -> str:
     """Returns the candidate with the highest rendezvous hash for an item.
 
-    Returns `types.NO_INCARNATION` if there are no candidates.
+    Without candidates it is `types.NO_INCARNATION`.
     """
     return max(
         candidates,
--- a/tests/placement/test_records.py
+++ b/tests/placement/test_records.py
@@ -40,7 +40,7 @@
         records.TableView().merge([records.Row("lease/i", '{"service": 4}', 1)])
 
 
-def test_view_is_read_only_after_a_read_of_the_table():
+def test_only_reads_of_the_table_mark_a_view_as_read():
     view = records.TableView()
     view.merge([lease_row("i", 5)])
     assert not view.is_read
