--- a/tamarackgap/placement/slotowners.py
+++ b/tamarackgap/placement/slotowners.py
@@ -33,7 +33,7 @@
         return self._version
 
     def update(self, service: str, slot: int, slot_owner: SlotOwner) -> bool:
-        """Records a slot's owner unless its fence is already known.
+        """Records a slot's owner unless a fence as high is already known.
 
         Args:
             service: Service of the slot.
@@ -41,7 +41,7 @@
             slot_owner: Its owner, from the table or from a peer.
 
         Returns:
-            Whether the slot's owner has changed.
+            Whether the owner was recorded.
         """
         known = self._services.setdefault(service, {})
         current = known.get(slot)
@@ -55,7 +55,7 @@
         """Records the owner of all slots in a lease record.
 
         Returns:
-            Number of slots whose owner has changed.
+            Number of slots whose owner was recorded.
         """
         return sum(
             self.update(
