--- a/tamarackgap/traffic/admission.py
+++ b/tamarackgap/traffic/admission.py
@@ -1,12 +1,13 @@
-"""Decides which calls a target runs next, and which it can't run in time.
-
-Answers a target that gets more calls than it has slots: the daemon beside it
-holds the queue, so that the target's own queue stays empty and nothing that
-is refused has ever reached it. Calls that can still be answered within their
-aim go before those of the same rank that can't: a late answer is worth
-little, and must not make the next one late as well. Among kinds of one rank
-the one that was served least goes first, or the one with the shortest aim
-would take all there is.
+"""Decides which calls the local target runs next and which are refused.
+
+When a target gets more calls than it has slots, its daemon holds the queue.
+The target's own queue stays empty, and a call that is refused has never
+reached the target.
+
+Within a rank, calls that can still be answered within their latency objective
+go first: a late answer is worth little and must not delay the next one as
+well. Among kinds of calls of one rank, the kind with the smallest served share
+goes first; otherwise the kind with the shortest objective would get all slots.
 """
 
 import math
@@ -14,45 +15,49 @@
 
 import msgspec
 
-# A call whose remaining time is less than this part of the usual work would
-# be stopped at its deadline with nothing to show.
-_LEAST_TIME = 0.7
-# How fast the usual time of a call follows what is measured.
-_LEARN = 0.05
-# Usual time of a call as a part of its aim, until the first is answered.
-_FIRST_SLOWNESS = 0.3
-# A target that turns calls away has less room than it says; it comes back.
-_BACKOFF = 0.8
-_REGAIN = 0.02
-_LEAST_SHARE = 0.25
-# What became of a kind of call is half forgotten in this time.
-_FORTUNE_HALF_LIFE_S = 2.0
-# Kinds are told apart by steps of this part of what they were offered, once
-# they were offered a few.
-_STEPS = 10
-_FEW_CALLS = 5
-# Least advice on when to come back: sooner than a slot's usual turn is vain.
-_LEAST_RETRY_S = 0.05
-# Slots that ranks before a call's own take up are half forgotten in this time.
+# A call with less time left than this share of its expected duration would be
+# stopped at its deadline without an answer.
+_MIN_DURATION_SHARE = 0.7
+# Weight of a new measurement in the moving average of the relative latency.
+_LATENCY_WEIGHT = 0.05
+# Relative latency that is assumed until the target has answered a call.
+_INITIAL_RELATIVE_LATENCY = 0.3
+# A target that reports that it is full has less room than it announced. Each
+# such report multiplies the used share of its capacity by _CAPACITY_BACKOFF,
+# each answered call adds _CAPACITY_RECOVERY.
+_CAPACITY_BACKOFF = 0.8
+_CAPACITY_RECOVERY = 0.02
+_MIN_CAPACITY_SHARE = 0.25
+# Half-life of the counts of offered and started calls of each kind.
+_SERVED_HALF_LIFE_S = 2.0
+# Served shares are rounded to this many steps, so that small differences don't
+# override the order by deadlines.
+_SHARE_STEPS = 10
+# Below this many offered calls a kind has no meaningful served share.
+_MIN_OFFERED_CALLS = 5
+# A caller that retried sooner would come before a slot has become free.
+_MIN_RETRY_S = 0.05
+# Half-life of the measured slot usage of each rank.
 _USAGE_HALF_LIFE_S = 1.0
-# What a rank is taken to get at least, as a part of the slots.
-_LEAST_LEFT = 0.05
-# A late call is kept only if its turn is likely to come in this part of the
-# time that it has left.
-_LATE_SHARE = 0.6
+# Share of the slots that each rank is assumed to get at least.
+_MIN_SLOT_SHARE = 0.05
+# A call that is going to miss its soft deadline stays in the queue only if it
+# is expected to start within this share of the time left to its deadline:
+# calls that arrive later and can meet theirs will go before it.
+_LATE_WAIT_SHARE = 0.6
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a call is not run, as things stood when that was decided.
+    """Holds the state of the queue at the time a call was refused.
 
     Attributes:
-        retry_after: When there is likely to be room, seconds from then.
-        expected_wait: How long it would have waited, seconds; infinite where
+        retry_after: Seconds until there is likely to be room for such a call.
+        expected_wait: Seconds that the call would have waited; infinite if
             there is no target.
-        expected_duration: How long the target usually takes for such a call,
-            seconds.
-        running: Calls at the target.
-        waiting: Calls in the queue, this one included.
+        expected_duration: Seconds that the target usually takes for such a
+            call.
+        running: Number of calls at the target.
+        waiting: Number of calls in the queue, including the refused one.
     """
 
     retry_after: float
@@ -63,16 +68,17 @@
 
 
 class QueuedCall(msgspec.Struct, frozen=True, eq=False):
-    """A call that waits for one of the target's slots.
+    """Holds a call that waits for one of the target's slots.
 
     Attributes:
-        rank: 0 goes first.
-        latency_objective: Time within which an answer is of full use, seconds;
-            usual work is taken to be in proportion to it.
-        soft_deadline: When an answer is no longer of full use, seconds.
-        deadline: When its answer is of no more use, seconds.
-        start: Called when its turn comes.
-        refuse: Called with the reason, if its turn can't come in time.
+        rank: Priority of the call; 0 goes first.
+        latency_objective: Seconds within which an answer is of full use. The
+            expected duration of a call is taken to be proportional to it.
+        soft_deadline: Monotonic time after which an answer is no longer of
+            full use, seconds.
+        deadline: Monotonic time after which an answer is of no use, seconds.
+        start: Called when the call gets a slot.
+        refuse: Called instead of `start` if the call can't start in time.
     """
 
     rank: int
@@ -83,274 +89,321 @@
     refuse: Callable[[Refusal], None]
 
 
-class _Fortune:
-    """How many calls of one kind were started while they could be in time."""
+class _ServedShare:
+    """Measures the share of one kind's calls that were started in time."""
 
     def __init__(self, now: float) -> None:
         self._offered = 0.0
         self._started = 0.0
-        self._at = now
+        self._updated_at = now
 
-    def offered(self, now: float) -> None:
-        """Counts a call that came."""
-        factor = 0.5 ** ((now - self._at) / _FORTUNE_HALF_LIFE_S)
+    def record_offer(self, now: float) -> None:
+        """Counts a call that was offered to the queue."""
+        factor = 0.5 ** ((now - self._updated_at) / _SERVED_HALF_LIFE_S)
         self._offered = self._offered * factor + 1
         self._started *= factor
-        self._at = now
+        self._updated_at = now
 
-    def started(self) -> None:
-        """Counts a call that was started in time."""
+    def record_start(self) -> None:
+        """Counts a call that was started in time for its soft deadline."""
         self._started += 1
 
     @property
     def share(self) -> float:
-        """The part that was started in time, in steps."""
-        if self._offered < _FEW_CALLS:
+        """Recent share of calls that were started in time, rounded."""
+        if self._offered < _MIN_OFFERED_CALLS:
             return 1.0
-        return round(self._started / self._offered * _STEPS) / _STEPS
+        return (
+            round(self._started / self._offered * _SHARE_STEPS) / _SHARE_STEPS
+        )
 
 
-class _Usage:
-    """Slots that one rank takes up."""
+class _SlotUsage:
+    """Measures how many slots the calls of one rank take up."""
 
     def __init__(self, now: float) -> None:
-        self._work = 0.0
-        self._at = now
+        self._work_s = 0.0
+        self._updated_at = now
 
-    def started(self, work: float, now: float) -> None:
-        """Counts a call, with its likely time, seconds."""
-        self._work = self._left(now) + work
-        self._at = now
+    def record_start(self, duration: float, now: float) -> None:
+        """Counts a started call with its expected duration in seconds."""
+        self._work_s = self._decayed_work(now) + duration
+        self._updated_at = now
 
     def slots(self, now: float) -> float:
-        """Returns how many slots it takes up, of late."""
-        return self._left(now) * math.log(2) / _USAGE_HALF_LIFE_S
+        """Returns the recent average number of slots in use."""
+        return self._decayed_work(now) * math.log(2) / _USAGE_HALF_LIFE_S
 
-    def _left(self, now: float) -> float:
-        return self._work * 0.5 ** ((now - self._at) / _USAGE_HALF_LIFE_S)
+    def _decayed_work(self, now: float) -> float:
+        return self._work_s * 0.5 ** (
+            (now - self._updated_at) / _USAGE_HALF_LIFE_S
+        )
 
 
 class AdmissionQueue:
-    """The queue before one target."""
+    """Queues the calls for one target and limits how many run at once."""
 
     def __init__(self) -> None:
-        self._fortunes: dict[tuple[int, float], _Fortune] = {}
-        self._usage: dict[int, _Usage] = {}
+        # By kind: a rank and a latency objective.
+        self._served: dict[tuple[int, float], _ServedShare] = {}
+        # By rank.
+        self._usage: dict[int, _SlotUsage] = {}
         self._capacity = 0
-        self._share = 1.0
+        # Share of the capacity that is used.
+        self._capacity_share = 1.0
         self._running = 0
-        self._slowness = 0.0
+        self._relative_latency = 0.0
         self._queue: list[QueuedCall] = []
 
     @property
     def running(self) -> int:
-        """Number of calls at the target."""
+        """Number of calls that the target runs."""
         return self._running
 
     @property
     def waiting(self) -> int:
-        """Number of calls that wait."""
+        """Number of calls in the queue."""
         return len(self._queue)
 
     @property
     def capacity(self) -> int:
-        """Most calls at the target at once."""
+        """Number of calls that the target may run at once; 0 for no target."""
         if not self._capacity:
             return 0
-        return max(1, round(self._capacity * self._share))
+        return max(1, round(self._capacity * self._capacity_share))
 
     @property
     def relative_latency(self) -> float:
-        """Usual time of a call as a part of its aim; 0 where none ran."""
-        return self._slowness
+        """Usual duration of a call divided by its latency objective.
+
+        It is 0 until the target has answered a call.
+        """
+        return self._relative_latency
 
     def expected_duration(self, latency_objective: float) -> float:
-        """Returns the usual time of a call with an aim, seconds."""
-        return (self._slowness or _FIRST_SLOWNESS) * latency_objective
+        """Returns the usual duration of a call in seconds.
+
+        Args:
+            latency_objective: The call's latency objective, seconds.
+        """
+        return (
+            self._relative_latency or _INITIAL_RELATIVE_LATENCY
+        ) * latency_objective
 
     def resize(self, capacity: int, now: float) -> None:
-        """Sets how many calls the target runs at once; 0 for no target."""
+        """Sets the target's capacity.
+
+        Args:
+            capacity: Calls that the target runs at once; 0 for no target, which
+                refuses all queued calls.
+            now: Monotonic time, seconds.
+        """
         self._capacity = capacity
         if not capacity:
             self.refuse_all()
         self.start_waiting(now)
 
     def reset_estimates(self) -> None:
-        """Forgets how fast the target is: it is another one."""
-        self._slowness = 0.0
-        self._share = 1.0
+        """Discards the measurements of a target that has been replaced."""
+        self._relative_latency = 0.0
+        self._capacity_share = 1.0
 
-    def offer(self, waiting: QueuedCall, now: float) -> None:
-        """Starts a call, queues it, or refuses it at once."""
-        self._fortune(waiting, now).offered(now)
+    def offer(self, call: QueuedCall, now: float) -> None:
+        """Starts a call, queues it or refuses it at once."""
+        self._served_share(call, now).record_offer(now)
         if not self._queue and self._running < self.capacity:
-            self._start(waiting, now)
+            self._start(call, now)
             return
-        wait = self._wait_for(waiting, now)
-        self._queue.append(waiting)
-        if not self._is_worth_it(waiting, wait, now):
-            self._turn_down(waiting, self._advice(waiting, now), wait)
+        wait = self._expected_wait(call, now)
+        self._queue.append(call)
+        if not self._can_start_in_time(call, wait, now):
+            self._refuse(call, self._retry_after(call, now), wait)
             return
         self.start_waiting(now)
 
     def finish(
-        self, worked: float | None, latency_objective: float, now: float
+        self, duration: float | None, latency_objective: float, now: float
     ) -> None:
-        """Frees a slot, and starts the call whose turn it is.
+        """Frees the slot of a call and starts the next one.
 
         Args:
-            worked: Seconds that the target took, where it answered.
-            latency_objective: The call's aim, seconds.
+            duration: Seconds that the target took; None if it did not answer.
+            latency_objective: The call's latency objective, seconds.
             now: Monotonic time, seconds.
         """
         self._running -= 1
-        if worked is not None:
-            seen = worked / latency_objective
-            if self._slowness:
-                self._slowness += (seen - self._slowness) * _LEARN
+        if duration is not None:
+            measured = duration / latency_objective
+            if self._relative_latency:
+                self._relative_latency += (
+                    measured - self._relative_latency
+                ) * _LATENCY_WEIGHT
             else:
-                self._slowness = seen
-            self._share = min(1.0, self._share + _REGAIN)
+                self._relative_latency = measured
+            self._capacity_share = min(
+                1.0, self._capacity_share + _CAPACITY_RECOVERY
+            )
         self.start_waiting(now)
 
     def reduce_capacity(self) -> None:
-        """Notes that the target had no room for a call."""
-        self._share = max(_LEAST_SHARE, self._share * _BACKOFF)
+        """Uses less of the target's capacity after it reported to be full."""
+        self._capacity_share = max(
+            _MIN_CAPACITY_SHARE, self._capacity_share * _CAPACITY_BACKOFF
+        )
 
     def start_waiting(self, now: float) -> None:
-        """Starts calls while there are slots, and refuses those too late."""
+        """Starts queued calls while there are free slots.
+
+        Calls whose turn comes too late for their deadline are refused.
+        """
         while self._queue and self._running < self.capacity:
-            waiting = min(self._queue, key=lambda w: self._order(w, now))
-            if not self._fits(waiting, now):
-                self._turn_down(waiting, _LEAST_RETRY_S, 0.0)
+            call = min(self._queue, key=lambda c: self._sort_key(c, now))
+            if not self._can_finish(call, now):
+                self._refuse(call, _MIN_RETRY_S, 0.0)
                 continue
-            self._queue.remove(waiting)
-            self._start(waiting, now)
+            self._queue.remove(call)
+            self._start(call, now)
 
     def refuse_late(self, now: float) -> None:
-        """Refuses all calls whose turn is not likely to come in time."""
-        # The work of all calls before one is summed up on the way.
+        """Refuses the queued calls that are not likely to start in time."""
+        # Expected duration of the calls that go before the present one.
         ahead = 0.0
-        left: dict[int, float] = {}
-        for waiting in sorted(self._queue, key=lambda w: self._order(w, now)):
-            if waiting.rank not in left:
-                left[waiting.rank] = self._left_for(waiting.rank, now)
-            work = self.expected_duration(waiting.latency_objective)
-            wait = (ahead + work) / left[waiting.rank]
-            if self._is_worth_it(waiting, wait, now):
-                ahead += work
+        # By rank.
+        available: dict[int, float] = {}
+        for call in sorted(self._queue, key=lambda c: self._sort_key(c, now)):
+            if call.rank not in available:
+                available[call.rank] = self._available_slots(call.rank, now)
+            duration = self.expected_duration(call.latency_objective)
+            wait = (ahead + duration) / available[call.rank]
+            if self._can_start_in_time(call, wait, now):
+                ahead += duration
             else:
-                self._turn_down(waiting, self._advice(waiting, now), wait)
+                self._refuse(call, self._retry_after(call, now), wait)
 
-    def withdraw(self, waiting: QueuedCall) -> bool:
-        """Takes a call out of the queue; returns whether it was there."""
-        if waiting not in self._queue:
+    def withdraw(self, call: QueuedCall) -> bool:
+        """Removes a call from the queue and returns whether it was there."""
+        if call not in self._queue:
             return False
-        self._queue.remove(waiting)
+        self._queue.remove(call)
         return True
 
     def refuse_all(self) -> None:
-        """Refuses all calls that wait."""
+        """Refuses all queued calls."""
         while self._queue:
-            self._turn_down(self._queue[0], _LEAST_RETRY_S, math.inf)
+            self._refuse(self._queue[0], _MIN_RETRY_S, math.inf)
 
-    def _turn_down(
-        self, waiting: QueuedCall, retry_after: float, wait: float
+    def _refuse(
+        self, call: QueuedCall, retry_after: float, wait: float
     ) -> None:
         refusal = Refusal(
             retry_after,
             wait,
-            self.expected_duration(waiting.latency_objective),
+            self.expected_duration(call.latency_objective),
             self._running,
             len(self._queue),
         )
-        self._queue.remove(waiting)
-        waiting.refuse(refusal)
+        self._queue.remove(call)
+        call.refuse(refusal)
 
-    def _start(self, waiting: QueuedCall, now: float) -> None:
-        if not self._is_late(waiting, now):
-            self._fortune(waiting, now).started()
-        usage = self._usage.get(waiting.rank)
+    def _start(self, call: QueuedCall, now: float) -> None:
+        if not self._is_late(call, now):
+            self._served_share(call, now).record_start()
+        usage = self._usage.get(call.rank)
         if usage is None:
-            usage = self._usage[waiting.rank] = _Usage(now)
-        usage.started(self.expected_duration(waiting.latency_objective), now)
+            usage = self._usage[call.rank] = _SlotUsage(now)
+        usage.record_start(self.expected_duration(call.latency_objective), now)
         self._running += 1
-        waiting.start()
+        call.start()
 
-    def _fortune(self, waiting: QueuedCall, now: float) -> _Fortune:
-        kind = (waiting.rank, waiting.latency_objective)
-        fortune = self._fortunes.get(kind)
-        if fortune is None:
-            fortune = self._fortunes[kind] = _Fortune(now)
-        return fortune
+    def _served_share(self, call: QueuedCall, now: float) -> _ServedShare:
+        kind = (call.rank, call.latency_objective)
+        served = self._served.get(kind)
+        if served is None:
+            served = self._served[kind] = _ServedShare(now)
+        return served
 
-    def _is_late(self, waiting: QueuedCall, now: float) -> bool:
+    def _is_late(self, call: QueuedCall, now: float) -> bool:
+        """Returns whether a call that starts now misses its soft deadline."""
         return (
-            now + self.expected_duration(waiting.latency_objective)
-            > waiting.soft_deadline
+            now + self.expected_duration(call.latency_objective)
+            > call.soft_deadline
         )
 
-    def _order(
-        self, waiting: QueuedCall, now: float
+    def _sort_key(
+        self, call: QueuedCall, now: float
     ) -> tuple[int, bool, float, float]:
-        late = self._is_late(waiting, now)
-        share = self._fortune(waiting, now).share
-        due = waiting.deadline if late else waiting.soft_deadline
-        return (waiting.rank, late, share, due)
-
-    def _wait_for(self, waiting: QueuedCall, now: float) -> float:
-        """Returns how long a call is likely to wait from now, seconds."""
+        """Returns the sort key of a call; the smallest starts next."""
+        late = self._is_late(call, now)
+        share = self._served_share(call, now).share
+        next_deadline = call.deadline if late else call.soft_deadline
+        return (call.rank, late, share, next_deadline)
+
+    def _expected_wait(self, call: QueuedCall, now: float) -> float:
+        """Returns the seconds that a call is likely to wait from now."""
         capacity = self.capacity
         if not capacity:
             return math.inf
-        own = self._order(waiting, now)
+        own = self._sort_key(call, now)
         ahead = sum(
             self.expected_duration(other.latency_objective)
             for other in self._queue
-            if other is not waiting and self._order(other, now) < own
+            if other is not call and self._sort_key(other, now) < own
         )
-        # A slot falls free once a part of the work has been done.
+        # Even with no call ahead, a running one has to end first; with n slots
+        # that takes about an n-th of a call's duration.
         return (
-            ahead + self.expected_duration(waiting.latency_objective)
-        ) / self._left_for(waiting.rank, now)
+            ahead + self.expected_duration(call.latency_objective)
+        ) / self._available_slots(call.rank, now)
+
+    def _available_slots(self, rank: int, now: float) -> float:
+        """Returns how many slots the ranks that go before a rank leave to it.
 
-    def _left_for(self, rank: int, now: float) -> float:
-        """Returns the slots that the ranks before one leave to it."""
-        # Calls of the ranks before it go on to come.
-        before = sum(
+        Calls of those ranks keep arriving, so their recent usage is subtracted
+        even when none of them is queued.
+        """
+        used = sum(
             usage.slots(now)
             for other, usage in self._usage.items()
             if other < rank
         )
         capacity = max(1, self.capacity)
-        return max(capacity - before, capacity * _LEAST_LEFT)
+        return max(capacity - used, capacity * _MIN_SLOT_SHARE)
 
-    def _advice(self, waiting: QueuedCall, now: float) -> float:
-        """Returns when there is likely to be room for such a call, seconds."""
+    def _retry_after(self, call: QueuedCall, now: float) -> float:
+        """Returns the seconds until there is likely to be room for a call."""
         ahead = sum(
             self.expected_duration(other.latency_objective)
             for other in self._queue
-            if other is not waiting and other.rank <= waiting.rank
+            if other is not call and other.rank <= call.rank
         )
-        return max(_LEAST_RETRY_S, ahead / self._left_for(waiting.rank, now))
+        return max(_MIN_RETRY_S, ahead / self._available_slots(call.rank, now))
 
-    def _fits(self, waiting: QueuedCall, now: float) -> bool:
-        least = self.expected_duration(waiting.latency_objective) * _LEAST_TIME
-        return now + least <= waiting.deadline
+    def _can_finish(self, call: QueuedCall, now: float) -> bool:
+        """Returns whether a call that starts now may end by its deadline."""
+        shortest = (
+            self.expected_duration(call.latency_objective) * _MIN_DURATION_SHARE
+        )
+        return now + shortest <= call.deadline
 
-    def _is_worth_it(
-        self, waiting: QueuedCall, wait: float, now: float
+    def _can_start_in_time(
+        self, call: QueuedCall, wait: float, now: float
     ) -> bool:
-        """Returns whether a call's turn is likely to come in time."""
-        left = (
-            waiting.deadline
+        """Returns whether a call is likely to start in time.
+
+        Args:
+            call: The call.
+            wait: Seconds that it is expected to wait.
+            now: Monotonic time, seconds.
+        """
+        longest_wait = (
+            call.deadline
             - now
-            - self.expected_duration(waiting.latency_objective) * _LEAST_TIME
+            - self.expected_duration(call.latency_objective)
+            * _MIN_DURATION_SHARE
         )
         if (
-            now + wait + self.expected_duration(waiting.latency_objective)
-            > waiting.soft_deadline
+            now + wait + self.expected_duration(call.latency_objective)
+            > call.soft_deadline
         ):
-            # Others that can be in time will come before it.
-            left *= _LATE_SHARE
-        return wait <= left
+            longest_wait *= _LATE_WAIT_SHARE
+        return wait <= longest_wait
--- a/tests/traffic/test_admission.py
+++ b/tests/traffic/test_admission.py
@@ -4,13 +4,13 @@
 
 
 class Target:
-    """A target with so many slots, in steps of one millisecond."""
+    """Simulates a target behind its queue in steps of one millisecond."""
 
-    def __init__(self, capacity, work=0.1, latency_objective=0.3):
+    def __init__(self, capacity, duration=0.1, latency_objective=0.3):
         self.queue = admission.AdmissionQueue()
         self.now = 0.0
         self.queue.resize(capacity, 0.0)
-        self.work = work
+        self.duration = duration
         self.latency_objective = latency_objective
         self.running = []
         self.started = []
@@ -23,9 +23,9 @@
 
         def start():
             self.started.append(name)
-            self.running.append((self.now + self.work, latency_objective))
+            self.running.append((self.now + self.duration, latency_objective))
 
-        waiting = admission.QueuedCall(
+        call = admission.QueuedCall(
             rank,
             latency_objective,
             self.now + latency_objective - waited,
@@ -33,21 +33,21 @@
             start,
             lambda refusal: self.refused.append((name, refusal)),
         )
-        self.queue.offer(waiting, self.now)
-        return waiting
+        self.queue.offer(call, self.now)
+        return call
 
     def run(self, seconds):
         end = self.now + seconds
         while self.now < end:
             self.now += 0.001
-            done = [item for item in self.running if item[0] <= self.now]
-            for item in done:
-                self.running.remove(item)
-                self.queue.finish(self.work, item[1], self.now)
+            ended = [call for call in self.running if call[0] <= self.now]
+            for call in ended:
+                self.running.remove(call)
+                self.queue.finish(self.duration, call[1], self.now)
             self.queue.refuse_late(self.now)
 
 
-def test_a_free_slot_is_used_at_once():
+def test_call_starts_at_once_in_free_slot():
     target = Target(2)
     target.offer("a")
     target.offer("b")
@@ -59,16 +59,16 @@
     assert target.started == ["a", "b", "c"]
 
 
-def test_lower_ranks_wait_for_higher_ones():
+def test_calls_start_in_order_of_rank():
     target = Target(1)
     target.offer("first")
-    target.offer("later", rank=2)
-    target.offer("sooner", rank=0)
+    target.offer("rank 2", rank=2)
+    target.offer("rank 0", rank=0)
     target.run(0.15)
-    assert target.started == ["first", "sooner"]
+    assert target.started == ["first", "rank 0"]
 
 
-def test_a_call_that_can_be_in_time_goes_before_a_late_one():
+def test_call_in_time_starts_before_late_call():
     target = Target(1)
     target.offer("first")
     target.offer("late", waited=0.29)
@@ -79,7 +79,7 @@
     assert target.started == ["first", "in time", "late"]
 
 
-def test_a_short_call_goes_before_a_long_one_of_its_rank():
+def test_short_objective_starts_first_within_rank():
     target = Target(1)
     target.offer("first")
     target.offer("long", latency_objective=0.6)
@@ -88,14 +88,14 @@
     assert target.started == ["first", "short"]
 
 
-def test_what_cannot_start_in_time_is_refused_at_once():
+def test_call_that_cannot_start_in_time_is_refused_at_once():
     target = Target(1)
     target.offer("first")
-    target.offer("hopeless", deadline=0.05)
-    assert [name for name, _ in target.refused] == ["hopeless"]
+    target.offer("too late", deadline=0.05)
+    assert [name for name, _ in target.refused] == ["too late"]
 
 
-def test_advice_grows_with_the_queue():
+def test_retry_after_grows_with_queue():
     target = Target(1)
     target.offer("first")
     for index in range(5):
@@ -104,11 +104,11 @@
     for index in range(5):
         target.offer(index, deadline=10.0)
     target.offer("b", deadline=0.05)
-    (_, sooner), (_, later) = target.refused
-    assert 0 < sooner.retry_after < later.retry_after
+    (_, first), (_, second) = target.refused
+    assert 0 < first.retry_after < second.retry_after
 
 
-def test_without_a_target_everything_is_refused():
+def test_all_calls_are_refused_without_target():
     target = Target(1)
     target.offer("first")
     target.offer("second")
@@ -118,17 +118,17 @@
     assert [name for name, _ in target.refused] == ["second", "third"]
 
 
-def test_a_withdrawn_call_never_starts():
+def test_withdrawn_call_never_starts():
     target = Target(1)
     target.offer("first")
-    waiting = target.offer("second")
-    assert target.queue.withdraw(waiting)
-    assert not target.queue.withdraw(waiting)
+    call = target.offer("second")
+    assert target.queue.withdraw(call)
+    assert not target.queue.withdraw(call)
     target.run(0.2)
     assert target.started == ["first"]
 
 
-def test_a_target_that_turns_calls_away_gets_fewer():
+def test_capacity_shrinks_when_target_is_full_and_recovers():
     target = Target(10)
     for _ in range(3):
         target.queue.reduce_capacity()
@@ -139,63 +139,64 @@
     assert target.queue.capacity == 10
 
 
-def test_under_overload_kinds_of_one_rank_are_served_alike():
-    # Short calls always have the nearest aim; long ones must not starve.
-    target = Target(2, work=0.05)
-    count = {"short": 0, "long": 0}
-    due = 0.0
+def test_kinds_of_one_rank_are_served_evenly_under_overload():
+    # Calls with the shorter objective always have the earlier soft deadline;
+    # ordered by deadline alone they would starve the others.
+    target = Target(2, duration=0.05)
+    offered = {"short": 0, "long": 0}
+    next_arrival = 0.0
     while target.now < 10.0:
-        if target.now >= due:
+        if target.now >= next_arrival:
             for kind, latency_objective in (("short", 0.2), ("long", 0.4)):
-                count[kind] += 1
+                offered[kind] += 1
                 target.offer(
-                    (kind, count[kind]),
+                    (kind, offered[kind]),
                     latency_objective=latency_objective,
                     deadline=0.8,
                 )
-            due += 0.05 * 2 / 2 / 1.5
+            next_arrival += 0.05 * 2 / 2 / 1.5
         target.run(0.001)
-    started = {
-        kind: sum(name[0] == kind for name in target.started) / count[kind]
-        for kind in count
+    served = {
+        kind: sum(name[0] == kind for name in target.started) / offered[kind]
+        for kind in offered
     }
-    assert abs(started["short"] - started["long"]) < 0.15
+    assert abs(served["short"] - served["long"]) < 0.15
 
 
 @pytest.mark.parametrize("factor", [1.2, 1.6])
-def test_overload_leaves_most_of_the_served_in_time(factor):
-    # One kind of call, more of it than the target can run: what is served
-    # should be in time, and what is refused should hear of it early.
-    target = Target(4, work=0.1, latency_objective=0.3)
+def test_target_stays_busy_and_refuses_early_under_overload(factor):
+    # One kind of call, offered faster than the target can run it.
+    target = Target(4, duration=0.1, latency_objective=0.3)
     arrivals = {}
-    held = {}
+    refused_after = {}
     interval = 0.1 / 4 / factor
-    due = 0.0
+    next_arrival = 0.0
     count = 0
     while target.now < 10.0:
-        while due <= target.now:
+        while next_arrival <= target.now:
             arrivals[count] = target.now
             target.offer(count, deadline=1.0)
             count += 1
-            due += interval
+            next_arrival += interval
         before = len(target.refused)
         target.run(0.001)
         for name, _ in target.refused[before:]:
-            held[name] = target.now - arrivals[name]
-    # Starts are not stamped here: the order of the queue tells enough.
-    served = len(target.started)
-    assert served >= 0.95 * 10.0 * 4 / 0.1
-    longest = sorted(held.values())[int(len(held) * 0.9)]
-    assert longest < 0.8
+            refused_after[name] = target.now - arrivals[name]
+    started = len(target.started)
+    assert started >= 0.95 * 10.0 * 4 / 0.1
+    percentile_90 = sorted(refused_after.values())[
+        int(len(refused_after) * 0.9)
+    ]
+    assert percentile_90 < 0.8
 
 
-def test_a_refusal_says_what_decided_it():
-    target = Target(1, work=10.0)
+def test_refusal_holds_state_of_queue():
+    target = Target(1, duration=10.0)
     target.offer("first")
     target.offer("second", deadline=0.5)
     target.run(0.5)
     ((name, refusal),) = target.refused
     assert name == "second"
-    # The one that was refused is the last that waited.
+    # The refused call counts as waiting.
     assert (refusal.running, refusal.waiting) == (1, 1)
     assert refusal.expected_wait > 0
