--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -1,4 +1,9 @@
-"""The side of a call where it came in: route it, send it, answer for it."""
+"""Routes the requests that this daemon receives and follows them to an answer.
+
+A request is sent in legs: each is one attempt to have it executed by one
+daemon's target. The dispatcher chooses the target, repeats a leg that was
+refused or lost where that is allowed, and answers the caller.
+"""
 
 import functools
 import itertools
@@ -15,19 +20,21 @@
 from tamarackgap.requests import retries
 from tamarackgap.traffic import balancer, crashes, routetable, runner, targets
 
-# A key's owner is known again within this time after a planned move.
-_MOVE_PAUSE_S = 0.02
-# Part of the aim that a call may wait for a key that is between two owners.
-_MOVE_SHARE = 0.6
-# Advice where a key has no owner: a lease has to end first, seconds.
+# Pause before a request whose slot moves is tried again. After a planned move
+# the new owner is known within this time.
+_MOVE_RETRY_PAUSE_S = 0.02
+# Share of the latency objective that a request may wait for a moving slot.
+_MAX_MOVE_WAIT_SHARE = 0.6
+# Retry advice where a key has no owner: a lease has to end first.
 _NO_OWNER_RETRY_S = 0.3
-_RETRY_S = 0.1
-# A leg must have this part of the aim left to be worth sending.
-_LEAST_AIM = 0.25
-_SERVER_ERROR = 500
-
-# Refusals of a key's daemon after which its owner is looked up again.
-_MOVED = frozenset(
+_DEFAULT_RETRY_S = 0.1
+# A request that may have run is sent again only if this share of its latency
+# objective is left until its deadline.
+_MIN_OBJECTIVE_SHARE = 0.25
+_SERVER_ERROR_STATUS = 500
+
+# Refusals after which the owner of a key is looked up again.
+_OWNER_CHANGED = frozenset(
     {
         types.Reason.WRONG_OWNER,
         types.Reason.SLOT_MOVING,
@@ -36,8 +43,8 @@
     }
 )
 
-# Refusals of the target itself.
-_ASKED = frozenset(
+# Refusals by the target itself rather than by its daemon.
+_REFUSED_BY_TARGET = frozenset(
     {
         types.Reason.TARGET_REFUSED,
         types.Reason.TARGET_FULL,
@@ -45,26 +52,26 @@
     }
 )
 
-Done = Callable[[calls.Completion], None]
+DoneCallback = Callable[[calls.Completion], None]
 
 
 class PendingRequest(msgspec.Struct, eq=False):
-    """A caller's request under way.
+    """Holds a caller's request that has not been answered yet.
 
     Attributes:
-        call: The request.
-        route: Its route.
+        call: The request as it is handed to targets.
+        route: The route that it matched.
         service: The service that is to run it.
-        begun: When it came in, seconds.
-        deadline: When its answer is due, seconds.
-        done: Takes the completion, once.
-        leg: Id of the leg under way; 0 for none.
-        candidate: Where that leg was sent.
-        tried: Incarnations that got a leg.
-        runs: Legs that may have reached a target.
-        may_have_run: Whether any leg may have run.
+        begun: Monotonic time at which it was received, seconds.
+        deadline: Monotonic time by which it must be answered, seconds.
+        done: Called once with the completion; None after that.
+        leg: Id of the current leg; 0 if there is none.
+        candidate: The target that the last leg was sent to.
+        tried: Incarnations that a leg was sent to.
+        runs: Number of legs that may have reached a target.
+        may_have_run: Whether any leg may have been executed.
         timer: Fires at the deadline.
-        last: The last refusal.
+        last: The completion of the last leg that did not end the request.
     """
 
     call: calls.Call
@@ -72,7 +79,7 @@
     service: types.ServiceName
     begun: float
     deadline: float
-    done: Done | None
+    done: DoneCallback | None
     leg: int = 0
     candidate: balancer.Candidate | None = None
     tried: frozenset[str] = frozenset()
@@ -83,13 +90,13 @@
 
 
 class Dispatcher:
-    """All requests that came in at this daemon."""
+    """Tracks the requests that this daemon has received from callers."""
 
     def __init__(
         self,
         core: ownership.Ownership,
         local_runner: runner.Runner,
-        links: transport.PeerTransport,
+        peer_transport: transport.PeerTransport,
         timers: scheduler.Scheduler,
         budgets: retries.ServiceRetryBudgets,
         rng: random.Random,
@@ -99,47 +106,49 @@
         """Creates a dispatcher without requests.
 
         Args:
-            core: Knows the keys' owners.
+            core: Looks up the owners of keys and the addresses of daemons.
             local_runner: Runs calls at this daemon's own target.
-            links: Links to the other daemons.
+            peer_transport: Sends messages to the other daemons.
             timers: The loop's scheduler.
-            budgets: Bound the legs that are sent again.
-            rng: Decides between equals.
-            crash_history: Contents that were at targets when these crashed.
-            data_centre: Where this daemon stands.
+            budgets: Limit how many legs are sent again.
+            rng: Breaks ties between targets.
+            crash_history: Fingerprints of requests that targets ran when they
+                crashed.
+            data_centre: The data centre of this daemon.
         """
         self._data_centre = data_centre
         self._core = core
         self._runner = local_runner
-        self._peers = links
+        self._peer_transport = peer_transport
         self._timers = timers
         self._budgets = budgets
         self._rng = rng
-        self._crashes = crash_history
-        self._spread = routetable.WeightedRoundRobin()
+        self._crash_history = crash_history
+        self._round_robin = routetable.WeightedRoundRobin()
         self._keyed: frozenset[str] = frozenset()
         self._targets = targets.TargetDirectory(core, timers)
-        self._flights: dict[int, PendingRequest] = {}
-        self._legs = itertools.count(1)
-        self._open = 0
-        # Observes each finished flight, for metrics.
+        # By the id of their current leg.
+        self._by_leg: dict[int, PendingRequest] = {}
+        self._leg_ids = itertools.count(1)
+        self._in_flight = 0
+        # Called with each request that has ended, for metrics.
         self.observe: Callable[[PendingRequest, calls.Completion], None] = (
             _ignore
         )
 
     @property
     def in_flight(self) -> int:
-        """Number of requests under way."""
-        return self._open
+        """Number of requests that have not been answered yet."""
+        return self._in_flight
 
     def configure(self, table: routetable.RouteTable) -> None:
-        """Follows a new version of the operators' table."""
+        """Applies a new version of the route table."""
         self._keyed = frozenset(
             name for name, service in table.services.items() if service.keyed
         )
 
     def is_heard(self, incarnation: str) -> bool:
-        """Returns whether a daemon has told of itself lately."""
+        """Returns whether a daemon has reported its status recently."""
         return self._targets.is_heard(incarnation)
 
     def addresses(self) -> set[str]:
@@ -149,156 +158,177 @@
     def update_status(
         self, sender: str, address: str, status: calls.TargetStatus
     ) -> None:
-        """Takes in what a daemon tells of itself."""
+        """Records the status that a daemon reports of itself.
+
+        Args:
+            sender: The daemon's incarnation.
+            address: The daemon's `ip:port`.
+            status: The state of its target.
+        """
         for gone in self._targets.update_status(sender, address, status):
-            self._drop(gone)
+            self._drop_daemon(gone)
 
     def submit(
         self,
         call: calls.Call,
         route: routetable.Route,
-        begun: float,
+        received_at: float,
         timeout: float,
-        done: Done,
+        done: DoneCallback,
     ) -> PendingRequest:
-        """Serves a request.
+        """Accepts a request and sends its first leg.
 
         Args:
-            call: The request.
-            route: Its route.
-            begun: When its first byte came, seconds.
-            timeout: How long the caller waits, seconds.
-            done: Called once with what became of it, perhaps at once.
+            call: The request as it is handed to targets.
+            route: The route that it matched.
+            received_at: Monotonic time of its first byte, seconds.
+            timeout: Seconds that the caller waits.
+            done: Called once with the completion, possibly before this method
+                returns.
 
         Returns:
-            The flight, for `cancel`.
+            The pending request, for `cancel`.
         """
-        flight = PendingRequest(
+        pending = PendingRequest(
             call,
             route,
-            self._spread.pick(route),
-            begun,
-            begun + min(timeout, route.timeout),
+            self._round_robin.pick(route),
+            received_at,
+            received_at + min(timeout, route.timeout),
             done,
         )
-        self._open += 1
-        self._budgets.for_service(flight.service).deposit()
-        left = flight.deadline - self._timers.now
-        flight.timer = self._timers.after(
-            max(0.0, left), functools.partial(self._deadline, flight)
+        self._in_flight += 1
+        self._budgets.for_service(pending.service).deposit()
+        left = pending.deadline - self._timers.now
+        pending.timer = self._timers.after(
+            max(0.0, left), functools.partial(self._handle_deadline, pending)
         )
-        self._try(flight)
-        return flight
+        self._send_leg(pending)
+        return pending
 
-    def cancel(self, flight: PendingRequest) -> None:
-        """Gives a flight up: its caller went away."""
-        if flight.done is None:
+    def cancel(self, pending: PendingRequest) -> None:
+        """Cancels a request whose caller has gone away."""
+        if pending.done is None:
             return
-        flight.done = _nobody
-        self._withdraw(flight)
+        # The completion is still logged and counted.
+        pending.done = _discard
+        self._withdraw_leg(pending)
         self._finish(
-            flight,
-            self._final(flight, types.Reason.NO_ANSWER, bool(flight.leg)),
+            pending,
+            self._final_completion(
+                pending, types.Reason.NO_ANSWER, bool(pending.leg)
+            ),
         )
 
     def handle_completion(
         self, sender: str, completion: calls.Completion
     ) -> None:
-        """Takes in what became of a leg; one that comes late is dropped."""
+        """Processes the completion of a leg; one of an ended leg is dropped."""
         self._targets.record_load(sender, completion)
-        flight = self._flights.pop(completion.leg, None)
-        if flight is None:
+        pending = self._by_leg.pop(completion.leg, None)
+        if pending is None:
             logs.event("late_completion_dropped", leg=completion.leg)
             return
-        flight.leg = 0
+        pending.leg = 0
         if completion.verdict is types.Verdict.ANSWERED:
-            self._answered(flight, completion)
+            self._handle_answer(pending, completion)
         else:
-            self._refused(flight, completion)
+            self._handle_failure(pending, completion)
 
     def fail_silent_legs(self) -> None:
-        """Gives up legs at daemons that are silent."""
+        """Fails legs at daemons that have not reported for too long.
+
+        Legs of requests that must not run twice wait for their deadline, or
+        until the daemon is forgotten.
+        """
         for name in self._targets.expired():
-            self._drop(name)
-        for leg, flight in list(self._flights.items()):
-            candidate = flight.candidate
+            self._drop_daemon(name)
+        for leg, pending in list(self._by_leg.items()):
+            candidate = pending.candidate
             if (
-                flight.route.idempotent
+                pending.route.idempotent
                 and candidate is not None
                 and self._targets.is_silent(candidate)
             ):
-                self._lose(leg, flight)
-
-    # Legs.
+                self._fail_leg(leg, pending)
 
-    def _try(self, flight: PendingRequest) -> None:
-        if flight.done is None:
+    def _send_leg(self, pending: PendingRequest) -> None:
+        """Chooses a target and sends the next leg, or ends the request."""
+        if pending.done is None:
             return
         now = self._timers.now
-        if self._crashes:
-            content = crashes.fingerprint(flight.service, flight.call)
-            barred = self._crashes.barred_for(content, now)
-            if barred:
+        if self._crash_history:
+            fingerprint = crashes.fingerprint(pending.service, pending.call)
+            barred_for = self._crash_history.barred_for(fingerprint, now)
+            if barred_for:
                 reason = types.Reason.CRASHES_TARGETS
-                self._finish(flight, self._final(flight, reason, False, barred))
+                self._finish(
+                    pending,
+                    self._final_completion(pending, reason, False, barred_for),
+                )
                 return
-        if flight.service in self._keyed:
-            owner, refusal = self._owner(flight)
+        if pending.service in self._keyed:
+            owner, refusal = self._find_owner(pending)
             if refusal is not None:
-                self._await_owner(flight, refusal)
+                self._await_owner(pending, refusal)
                 return
             candidate = self._targets.for_owner(owner)
         else:
             candidate = balancer.choose(
-                self._targets.of_service(flight.service),
-                flight.tried,
+                self._targets.of_service(pending.service),
+                pending.tried,
                 now,
                 self._rng,
                 self._data_centre,
             )
             if candidate is None:
                 reason = types.Reason.TARGET_ABSENT
-                if flight.last is not None and flight.last.reason:
-                    reason = flight.last.reason
-                self._finish(flight, self._final(flight, reason, False))
+                if pending.last is not None and pending.last.reason:
+                    reason = pending.last.reason
+                self._finish(
+                    pending, self._final_completion(pending, reason, False)
+                )
                 return
-        self._send(flight, candidate, now)
+        self._dispatch(pending, candidate, now)
 
-    def _owner(self, flight: PendingRequest) -> tuple[str, types.Reason | None]:
-        position = flight.call.position
+    def _find_owner(
+        self, pending: PendingRequest
+    ) -> tuple[str, types.Reason | None]:
+        """Returns the owner of a request's key, or why there is none."""
+        position = pending.call.position
         if position is None:
             return types.NO_INCARNATION, types.Reason.BAD_REQUEST
-        service_record = self._core.view.service_record(flight.service)
+        service_record = self._core.view.service_record(pending.service)
         if service_record is None:
             return types.NO_INCARNATION, types.Reason.NO_OWNER
         slot = slots.slot_of_position(position, service_record.slots)
-        route = self._core.slot_owners.find(flight.service, slot)
-        if route is None or self._core.view.lease(route.owner) is None:
+        found = self._core.slot_owners.find(pending.service, slot)
+        if found is None or self._core.view.lease(found.owner) is None:
             return types.NO_INCARNATION, types.Reason.NO_OWNER
-        return route.owner, None
+        return found.owner, None
 
-    def _send(
-        self, flight: PendingRequest, candidate: balancer.Candidate, now: float
+    def _dispatch(
+        self, pending: PendingRequest, candidate: balancer.Candidate, now: float
     ) -> None:
-        leg = next(self._legs)
-        route = flight.route
+        leg = next(self._leg_ids)
+        route = pending.route
         dispatch = calls.Dispatch(
             owner=types.Incarnation(candidate.incarnation),
             leg=leg,
-            service=flight.service,
-            call=flight.call,
-            remaining=flight.deadline - now,
+            service=pending.service,
+            call=pending.call,
+            remaining=pending.deadline - now,
             rank=route.rank,
             idempotent=route.idempotent,
             latency_objective=route.latency_objective,
-            objective_remaining=flight.begun + route.latency_objective - now,
+            objective_remaining=pending.begun + route.latency_objective - now,
         )
-        flight.leg = leg
-        flight.candidate = candidate
-        flight.tried |= {candidate.incarnation}
-        flight.runs += 1
+        pending.leg = leg
+        pending.candidate = candidate
+        pending.tried |= {candidate.incarnation}
+        pending.runs += 1
         candidate.sent_since_report += 1
-        self._flights[leg] = flight
+        self._by_leg[leg] = pending
         own = self._core.incarnation
         if candidate.incarnation == own:
             self._runner.submit(
@@ -306,12 +336,12 @@
             )
             return
         address = self._targets.address(candidate.incarnation)
-        if not address or not self._peers.send(own, address, dispatch):
-            self._flights.pop(leg, None)
-            flight.leg = 0
+        if not address or not self._peer_transport.send(own, address, dispatch):
+            self._by_leg.pop(leg, None)
+            pending.leg = 0
             candidate.record_failure(now)
-            self._refused(
-                flight,
+            self._handle_failure(
+                pending,
                 calls.Completion(
                     leg,
                     types.Verdict.NOT_RUN,
@@ -319,21 +349,21 @@
                 ),
             )
 
-    def _answered(
-        self, flight: PendingRequest, completion: calls.Completion
+    def _handle_answer(
+        self, pending: PendingRequest, completion: calls.Completion
     ) -> None:
-        failed = completion.status >= _SERVER_ERROR
-        self._judge(flight, failed)
-        if failed and flight.route.idempotent and self._may_rerun(flight):
-            flight.may_have_run = True
-            flight.last = completion
-            self._try(flight)
+        failed = completion.status >= _SERVER_ERROR_STATUS
+        self._record_outcome(pending, failed)
+        if failed and pending.route.idempotent and self._may_rerun(pending):
+            pending.may_have_run = True
+            pending.last = completion
+            self._send_leg(pending)
             return
-        self._finish(flight, completion)
+        self._finish(pending, completion)
 
-    def _judge(self, flight: PendingRequest, failed: bool) -> None:
-        """Notes how well the target of the last leg does."""
-        candidate = flight.candidate
+    def _record_outcome(self, pending: PendingRequest, failed: bool) -> None:
+        """Records for the balancer whether the last leg's target did well."""
+        candidate = pending.candidate
         if candidate is None:
             return
         if failed:
@@ -341,185 +371,220 @@
         else:
             candidate.record_success(self._timers.now)
 
-    def _refused(
-        self, flight: PendingRequest, completion: calls.Completion
+    def _handle_failure(
+        self, pending: PendingRequest, completion: calls.Completion
     ) -> None:
+        """Sends a leg without an answer again, or ends the request."""
         reason = completion.reason
-        ran = completion.verdict is types.Verdict.MAY_HAVE_RUN
-        flight.may_have_run |= ran
-        flight.last = completion
-        if ran or reason is types.Reason.TARGET_REFUSED:
-            self._judge(flight, True)
-        if ran:
-            if flight.route.idempotent and self._may_rerun(flight):
-                self._try(flight)
+        may_have_run = completion.verdict is types.Verdict.MAY_HAVE_RUN
+        pending.may_have_run |= may_have_run
+        pending.last = completion
+        if may_have_run or reason is types.Reason.TARGET_REFUSED:
+            self._record_outcome(pending, True)
+        if may_have_run:
+            if pending.route.idempotent and self._may_rerun(pending):
+                self._send_leg(pending)
             else:
-                self._finish(flight, self._final(flight, reason, True))
+                self._finish(
+                    pending, self._final_completion(pending, reason, True)
+                )
             return
-        if flight.service in self._keyed:
-            if reason in _MOVED:
-                self._await_owner(flight, reason)
+        if pending.service in self._keyed:
+            if reason in _OWNER_CHANGED:
+                self._await_owner(pending, reason)
                 return
-            if self._may_ask_again(flight, reason):
-                self._try(flight)
+            if self._may_retry_owner(pending, reason):
+                self._send_leg(pending)
                 return
-        elif self._may_go_elsewhere(flight, reason):
-            self._try(flight)
+        elif self._may_try_other_target(pending, reason):
+            self._send_leg(pending)
             return
         self._finish(
-            flight,
-            self._final(flight, reason, False, completion.retry_after),
+            pending,
+            self._final_completion(
+                pending, reason, False, completion.retry_after
+            ),
         )
 
-    def _may_rerun(self, flight: PendingRequest) -> bool:
-        """Returns whether a call that may have run is sent once more."""
+    def _may_rerun(self, pending: PendingRequest) -> bool:
+        """Returns whether a request that may have run is sent again.
+
+        If so, takes a token from the service's retry budget.
+        """
         now = self._timers.now
         return (
-            flight.runs < flight.route.max_attempts
-            and flight.deadline - now
-            > flight.route.latency_objective * _LEAST_AIM
-            and self._targets.has_room(flight.service)
-            and self._budgets.for_service(flight.service).withdraw()
+            pending.runs < pending.route.max_attempts
+            and pending.deadline - now
+            > pending.route.latency_objective * _MIN_OBJECTIVE_SHARE
+            and self._targets.has_room(pending.service)
+            and self._budgets.for_service(pending.service).withdraw()
         )
 
-    def _may_go_elsewhere(
-        self, flight: PendingRequest, reason: types.Reason | None
+    def _may_try_other_target(
+        self, pending: PendingRequest, reason: types.Reason | None
     ) -> bool:
-        """Returns whether a call that did not run is tried at another."""
-        if len(flight.tried) >= max(2, flight.route.max_attempts):
+        """Returns whether a request that did not run goes to another target.
+
+        A leg that a target itself refused takes a token from the retry budget.
+        """
+        if len(pending.tried) >= max(2, pending.route.max_attempts):
             return False
-        if reason in _ASKED:
-            # It counts as a run: the target was asked.
-            return flight.runs < flight.route.max_attempts and (
-                self._budgets.for_service(flight.service).withdraw()
+        if reason in _REFUSED_BY_TARGET:
+            # The leg has reached a target and counts as an attempt.
+            return pending.runs < pending.route.max_attempts and (
+                self._budgets.for_service(pending.service).withdraw()
             )
-        flight.runs -= 1
+        pending.runs -= 1
         return True
 
-    def _may_ask_again(
-        self, flight: PendingRequest, reason: types.Reason | None
+    def _may_retry_owner(
+        self, pending: PendingRequest, reason: types.Reason | None
     ) -> bool:
-        """Returns whether a key's one target, which refused, is asked again.
+        """Returns whether a request is sent to the owner of its key again.
 
-        It had room: whatever made it refuse may not concern the next try.
+        TARGET_REFUSED is not a lack of room, so the next leg may succeed. If it
+        is sent, takes a token from the service's retry budget.
         """
         return (
             reason is types.Reason.TARGET_REFUSED
-            and flight.runs < flight.route.max_attempts
-            and self._budgets.for_service(flight.service).withdraw()
+            and pending.runs < pending.route.max_attempts
+            and self._budgets.for_service(pending.service).withdraw()
         )
 
     def _await_owner(
-        self, flight: PendingRequest, reason: types.Reason
+        self, pending: PendingRequest, reason: types.Reason
     ) -> None:
-        """Waits a moment for a key that is between two owners."""
+        """Sends a request again after a pause if its slot is moving.
+
+        Otherwise, or once it has waited too long, ends the request.
+        """
         now = self._timers.now
-        until = flight.begun + flight.route.latency_objective * _MOVE_SHARE
-        waits = reason in (
+        until = (
+            pending.begun
+            + pending.route.latency_objective * _MAX_MOVE_WAIT_SHARE
+        )
+        is_moving = reason in (
             types.Reason.SLOT_MOVING,
             types.Reason.WRONG_OWNER,
         )
-        if waits and now + _MOVE_PAUSE_S < min(until, flight.deadline):
-            flight.runs = 0
+        if is_moving and now + _MOVE_RETRY_PAUSE_S < min(
+            until, pending.deadline
+        ):
+            pending.runs = 0
             self._timers.after(
-                _MOVE_PAUSE_S, functools.partial(self._try, flight)
+                _MOVE_RETRY_PAUSE_S, functools.partial(self._send_leg, pending)
             )
             return
         self._finish(
-            flight, self._final(flight, reason, False, _NO_OWNER_RETRY_S)
+            pending,
+            self._final_completion(pending, reason, False, _NO_OWNER_RETRY_S),
         )
 
-    def _lose(self, leg: int, flight: PendingRequest) -> None:
-        self._flights.pop(leg, None)
-        flight.leg = 0
-        self._refused(
-            flight,
+    def _fail_leg(self, leg: int, pending: PendingRequest) -> None:
+        self._by_leg.pop(leg, None)
+        pending.leg = 0
+        self._handle_failure(
+            pending,
             calls.Completion(
                 leg, types.Verdict.MAY_HAVE_RUN, types.Reason.OWNER_LOST
             ),
         )
 
-    def _drop(self, incarnation: str) -> None:
-        """Forgets a daemon that is gone; its answers are not due."""
+    def _drop_daemon(self, incarnation: str) -> None:
+        """Forgets a daemon that is gone and fails its open legs."""
         self._targets.remove(incarnation)
-        for leg, flight in list(self._flights.items()):
-            candidate = flight.candidate
+        for leg, pending in list(self._by_leg.items()):
+            candidate = pending.candidate
             if candidate and candidate.incarnation == incarnation:
-                self._lose(leg, flight)
+                self._fail_leg(leg, pending)
 
-    def _withdraw(self, flight: PendingRequest) -> None:
-        if not flight.leg or flight.candidate is None:
+    def _withdraw_leg(self, pending: PendingRequest) -> None:
+        if not pending.leg or pending.candidate is None:
             return
-        owner = flight.candidate.incarnation
+        owner = pending.candidate.incarnation
         own = self._core.incarnation
         if owner == own:
-            self._runner.withdraw(own, flight.leg)
+            self._runner.withdraw(own, pending.leg)
             return
         address = self._targets.address(owner)
         if address:
-            self._peers.send(own, address, calls.Withdraw(flight.leg))
+            self._peer_transport.send(own, address, calls.Withdraw(pending.leg))
 
-    # Ends.
-
-    def _deadline(self, flight: PendingRequest) -> None:
-        if flight.done is None:
+    def _handle_deadline(self, pending: PendingRequest) -> None:
+        if pending.done is None:
             return
-        self._withdraw(flight)
-        under_way = bool(flight.leg)
+        self._withdraw_leg(pending)
+        has_leg = bool(pending.leg)
         self._finish(
-            flight, self._final(flight, types.Reason.NO_ANSWER, under_way)
+            pending,
+            self._final_completion(pending, types.Reason.NO_ANSWER, has_leg),
         )
 
-    def _final(
+    def _final_completion(
         self,
-        flight: PendingRequest,
+        pending: PendingRequest,
         reason: types.Reason | None,
-        ran: bool,
+        may_have_run: bool,
         retry_after: float = 0.0,
     ) -> calls.Completion:
-        if flight.last is not None and (
-            flight.last.verdict is types.Verdict.ANSWERED
+        """Returns the completion of a request that ends without an answer.
+
+        Args:
+            pending: The request.
+            reason: Why it ends.
+            may_have_run: Whether its last leg may have been executed.
+            retry_after: Seconds after which the caller may try again; 0 for
+                the default.
+        """
+        if pending.last is not None and (
+            pending.last.verdict is types.Verdict.ANSWERED
         ):
-            # The target's own failure says more than ours.
-            return flight.last
-        ran = ran or flight.may_have_run
-        verdict = types.Verdict.MAY_HAVE_RUN if ran else types.Verdict.NOT_RUN
+            # A 5xx answer from a target says more than a reason of the router.
+            return pending.last
+        may_have_run = may_have_run or pending.may_have_run
+        verdict = (
+            types.Verdict.MAY_HAVE_RUN
+            if may_have_run
+            else types.Verdict.NOT_RUN
+        )
         return calls.Completion(
-            flight.leg,
+            pending.leg,
             verdict,
             reason,
-            retry_after=0.0 if ran else retry_after or _RETRY_S,
+            retry_after=0.0
+            if may_have_run
+            else retry_after or _DEFAULT_RETRY_S,
         )
 
     def _finish(
-        self, flight: PendingRequest, completion: calls.Completion
+        self, pending: PendingRequest, completion: calls.Completion
     ) -> None:
-        done = flight.done
+        done = pending.done
         if done is None:
             return
-        flight.done = None
-        flight.timer.cancel()
-        if flight.leg:
-            self._flights.pop(flight.leg, None)
-        self._open -= 1
-        self._log(flight, completion)
-        self.observe(flight, completion)
+        pending.done = None
+        pending.timer.cancel()
+        if pending.leg:
+            self._by_leg.pop(pending.leg, None)
+        self._in_flight -= 1
+        self._log(pending, completion)
+        self.observe(pending, completion)
         done(completion)
 
     def _log(
-        self, flight: PendingRequest, completion: calls.Completion
+        self, pending: PendingRequest, completion: calls.Completion
     ) -> None:
         now = self._timers.now
-        candidate = flight.candidate
+        candidate = pending.candidate
         reason = completion.reason
         logs.request_event(
             "request",
             completion.verdict is not types.Verdict.ANSWERED,
-            request=flight.call.request_id,
-            route=flight.route.name,
-            rank=flight.route.rank,
-            service=flight.service,
-            position=flight.call.position,
+            request=pending.call.request_id,
+            route=pending.route.name,
+            rank=pending.route.rank,
+            service=pending.service,
+            position=pending.call.position,
             owner=candidate.incarnation if candidate else "",
             revision=self._core.view.cursor,
             load=candidate.reported_load + candidate.sent_since_report
@@ -528,17 +593,17 @@
             load_age_ms=(
                 round((now - candidate.last_heard) * 1000) if candidate else 0
             ),
-            runs=flight.runs,
+            runs=pending.runs,
             verdict=completion.verdict.value,
             reason=reason.value if reason else "",
             status=completion.status,
-            ms=round((now - flight.begun) * 1000, 1),
+            ms=round((now - pending.begun) * 1000, 1),
         )
 
 
-def _ignore(flight: PendingRequest, completion: calls.Completion) -> None:
-    del flight, completion
+def _ignore(pending: PendingRequest, completion: calls.Completion) -> None:
+    del pending, completion
 
 
-def _nobody(completion: calls.Completion) -> None:
+def _discard(completion: calls.Completion) -> None:
     del completion
