--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -1,4 +1,8 @@
-"""The side of a call beside its target: admit it, hand it over, judge it."""
+"""Executes calls at the local target: admits, sends and interprets them.
+
+Calls come from the dispatchers of all daemons. Each is checked again when its
+turn comes, since the ownership of its key or the target may have changed.
+"""
 
 import functools
 import math
@@ -15,32 +19,34 @@
 from tamarackgap.traffic import admission, crashes, slotgrants
 
 # A target ends a call at its deadline; its answer takes a little longer.
-_GRACE_S = 0.02
-# Least time left with which a call is still handed over, seconds.
-_LEAST_S = 0.005
-_DRAIN_S = 1.6
-# Work of a call that counts as one in the slots' loads, seconds.
-_USUAL_WORK_S = 0.05
-# A target that crashed refuses connections, or announces another life, within
-# this time after its connections broke, seconds.
-_CRASH_SEEN_S = 2.0
-# An answer that was on its way when the target crashed may be read so much
-# later than the first connection broke, seconds.
-_ANSWER_SLACK_S = 0.1
-# How fast the part of the target in use follows what is seen in each sweep.
-_LEARN = 0.05
+_ANSWER_GRACE_S = 0.02
+# A call with less time left is not sent to the target.
+_MIN_REMAINING_S = 0.005
+# Time for which a keyed service still runs calls after draining has begun.
+_DRAIN_TIME_S = 1.6
+# Duration of the call that counts as one unit of a slot's load.
+_LOAD_UNIT_S = 0.05
+# A target that crashed refuses connections, or is announced by a new process,
+# within this time after its connections broke.
+_CRASH_DETECTION_S = 2.0
+# An answer that was on its way when the target crashed may be read this much
+# later than the first connection broke.
+_LATE_ANSWER_S = 0.1
+# Weight of a new sample in the moving average of the utilisation.
+_UTILISATION_WEIGHT = 0.05
 
 Reply = Callable[[calls.Completion], None]
 
 
 class Codec(msgspec.Struct, frozen=True):
-    """How calls and answers are spelled on the way to targets.
+    """Encodes calls for targets and decodes their answers.
 
     Attributes:
-        encode: Returns a call's bytes, from the dispatch, the milliseconds
-            left and the target's instance.
-        is_answer_to: Returns whether an answer is the one to a request id.
-        decode_answer: Returns the completion that an answer means.
+        encode: Returns the bytes of a call. Takes the dispatch, the time left
+            to the deadline in milliseconds and the target's instance id.
+        is_answer_to: Returns whether an answer belongs to a request id.
+        decode_answer: Returns the completion of a leg. Takes the leg's id and
+            the target's answer.
     """
 
     encode: Callable[[calls.Dispatch, int, str], bytes]
@@ -49,16 +55,19 @@
 
 
 class Leg(msgspec.Struct, eq=False):
-    """A call that this daemon deals with.
+    """Holds a leg that this daemon executes at its target.
 
     Attributes:
-        dispatch: The call.
+        dispatch: The call, as it was sent to this daemon.
         sender: The incarnation that sent it.
-        deadline: The caller's deadline on this clock, seconds.
-        reply: Takes the completion, once.
-        begun: When it was handed over, seconds.
-        waiting: Its place in the queue.
-        exchange: Its exchange with the target.
+        deadline: The caller's deadline in this daemon's monotonic time,
+            seconds.
+        reply: Called once with the completion; None after that, or when the
+            caller no longer waits.
+        begun: Monotonic time at which it was sent to the target, seconds; 0
+            before that.
+        waiting: The call in the admission queue.
+        exchange: The HTTP exchange with the target.
     """
 
     dispatch: calls.Dispatch
@@ -71,13 +80,13 @@
 
 
 class Runner:
-    """All calls for the target beside this daemon."""
+    """Executes calls at the local target."""
 
     def __init__(
         self,
         service: types.ServiceName,
         core: ownership.Ownership,
-        holds: slotgrants.SlotGrants,
+        grants: slotgrants.SlotGrants,
         link: httplink.Link,
         codec: Codec,
         timers: scheduler.Scheduler,
@@ -88,52 +97,53 @@
 
         Args:
             service: The target's service.
-            core: Says which keys are owned.
-            holds: Says which keys the target holds.
+            core: Tells which slots this daemon owns.
+            grants: Tells which slots the target holds.
             link: Connections to the target.
-            codec: Spells calls and answers.
+            codec: Encodes calls and decodes answers.
             timers: The loop's scheduler.
             on_connection_refused: Called when the target refuses connections.
-            crash_history: Contents that were at targets when these crashed.
+            crash_history: Fingerprints of requests that targets ran when they
+                crashed.
         """
         self._service = service
         self._core = core
-        self._holds = holds
+        self._grants = grants
         self._link = link
         self._codec = codec
         self._timers = timers
         self._on_connection_refused = on_connection_refused
-        self._crashes = crash_history
-        # Runs that ended with their connections: content, begin and end.
-        self._broken: list[tuple[str, float, float]] = []
-        # Called with a content that was answered after a crash.
-        self.on_content_cleared: Callable[[str], None] = _forget
+        self._crash_history = crash_history
+        # Runs whose connection broke: fingerprint, begin and end, seconds.
+        self._broken_runs: list[tuple[str, float, float]] = []
+        # Called with the fingerprint of a request that a target has answered
+        # after another one crashed while running it.
+        self.on_content_cleared: Callable[[str], None] = _ignore_fingerprint
         self._admission = admission.AdmissionQueue()
         self._legs: dict[tuple[str, int], Leg] = {}
         self._instance = ""
-        self._leave_at = 0.0
+        self._drain_ends_at = 0.0
         self._meter = loadstats.SlotMeter(
             timers.now, core.settings.load_half_life
         )
         self._draining = False
         # Whether each key has one owner among the service's targets.
         self.keyed = False
-        # Observes each call that was handed over: what became of it, and
-        # the seconds that it took.
+        # Called with the verdict and the duration in seconds of each call that
+        # was sent to the target, for metrics.
         self.observe: Callable[[types.Verdict, float], None] = _ignore
-        # When the target last answered a call, seconds.
+        # Monotonic time of the target's last answer, seconds.
         self.last_answered_at = float("-inf")
-        # Part of the target's capacity that was in use lately.
         self._utilisation = 0.0
 
     @property
     def queue(self) -> admission.AdmissionQueue:
-        """The queue before the target."""
+        """The queue of calls for the target."""
         return self._admission
 
     @property
     def in_progress(self) -> int:
-        """Number of calls here, waiting or at the target."""
+        """Number of calls that are queued or run by the target."""
         return len(self._legs)
 
     @property
@@ -142,10 +152,10 @@
         return bool(self._instance) and not self._draining
 
     def attach(self, instance: str, capacity: int) -> None:
-        """Takes a target into use.
+        """Starts to use a target.
 
         Args:
-            instance: Id of this life of the target.
+            instance: Id of the target instance.
             capacity: Calls that it runs at once.
         """
         if instance != self._instance:
@@ -155,44 +165,53 @@
         self._admission.resize(capacity, self._timers.now)
 
     def drain(self) -> None:
-        """Takes no new calls; those that wait must start soon."""
+        """Starts to drain.
+
+        Calls of a keyed service are run for _DRAIN_TIME_S more, since its keys
+        are still owned here; other calls are refused at once or when their
+        turn comes.
+        """
         if not self._draining:
             self._draining = True
-            self._leave_at = self._timers.now + _DRAIN_S
+            self._drain_ends_at = self._timers.now + _DRAIN_TIME_S
 
     def detach(self) -> None:
-        """Notes that there is no target any more."""
+        """Stops using the target and refuses all queued calls."""
         self._instance = ""
         self._admission.resize(0, self._timers.now)
         self._link.close()
 
     def pop_crashed_runs(self) -> list[tuple[str, float, float]]:
-        """Returns the runs that a crash of the target has just ended.
+        """Returns and forgets the runs that a crash of the target has ended.
 
         Returns:
-            Content, begin and end of each, in seconds.
+            The fingerprint, begin and end of each run, in monotonic seconds.
         """
         since = max(
-            self._timers.now - _CRASH_SEEN_S,
-            self.last_answered_at - _ANSWER_SLACK_S,
+            self._timers.now - _CRASH_DETECTION_S,
+            self.last_answered_at - _LATE_ANSWER_S,
         )
-        broken = [run for run in self._broken if run[2] >= since]
-        self._broken = []
-        # What was sent after the first of them broke has met no target.
-        crashed = min((end for _, _, end in broken), default=0.0)
-        return [run for run in broken if run[1] < crashed]
+        broken = [run for run in self._broken_runs if run[2] >= since]
+        self._broken_runs = []
+        # Calls sent after the first connection broke have not reached the
+        # target.
+        crashed_at = min((end for _, _, end in broken), default=0.0)
+        return [run for run in broken if run[1] < crashed_at]
 
     @property
     def utilisation(self) -> float:
-        """Calls here against what the target runs at once, of late."""
+        """Recent average of the calls in progress divided by the capacity."""
         return self._utilisation
 
     def refuse_late(self) -> None:
-        """Refuses calls that can no longer start in time."""
+        """Refuses queued calls that can no longer start in time.
+
+        Also samples the utilisation, so it must be called at a steady rate.
+        """
         now = self._timers.now
-        used = len(self._legs) / max(1, self._admission.capacity)
-        self._utilisation += (used - self._utilisation) * _LEARN
-        if self._draining and now >= self._leave_at:
+        sample = len(self._legs) / max(1, self._admission.capacity)
+        self._utilisation += (sample - self._utilisation) * _UTILISATION_WEIGHT
+        if self._draining and now >= self._drain_ends_at:
             self._admission.refuse_all()
         else:
             self._admission.refuse_late(now)
@@ -200,7 +219,14 @@
     def submit(
         self, dispatch: calls.Dispatch, sender: str, reply: Reply
     ) -> None:
-        """Deals with a call; `reply` is called once, perhaps at once."""
+        """Starts a call at the target, queues it or refuses it.
+
+        Args:
+            dispatch: The call.
+            sender: The incarnation that sent it.
+            reply: Called once with the completion, possibly before this method
+                returns.
+        """
         now = self._timers.now
         leg = Leg(dispatch, sender, now + dispatch.remaining, reply)
         refusal = self._refusal(dispatch, now)
@@ -209,10 +235,10 @@
             return
         self._legs[sender, dispatch.leg] = leg
         if self.keyed:
-            # Calls that find no room are load as well.
+            # Calls that are then refused for lack of room are load as well.
             amount = (
                 self._admission.expected_duration(dispatch.latency_objective)
-                / _USUAL_WORK_S
+                / _LOAD_UNIT_S
             )
             self._meter.count(self._slot(dispatch), now, amount)
         leg.waiting = admission.QueuedCall(
@@ -221,12 +247,20 @@
             now + dispatch.objective_remaining,
             leg.deadline,
             functools.partial(self._start, leg),
-            functools.partial(self._turned_down, leg),
+            functools.partial(self._refuse_queued, leg),
         )
         self._admission.offer(leg.waiting, now)
 
     def withdraw(self, sender: str, leg_id: int) -> None:
-        """Gives a call up, where that can do no harm."""
+        """Cancels a leg whose caller no longer waits.
+
+        A call that the target runs already is cut off only if its request is
+        idempotent.
+
+        Args:
+            sender: The incarnation that sent the leg.
+            leg_id: The leg's id.
+        """
         leg = self._legs.get((sender, leg_id))
         if leg is None:
             return
@@ -242,8 +276,9 @@
     def _refusal(
         self, dispatch: calls.Dispatch, now: float
     ) -> types.Reason | None:
-        # A process that has left its lease goes on under another id: what was
-        # sent to the earlier one is still for the same target.
+        """Returns why a call must not be run now, or None."""
+        # A process that has left its lease goes on under a new incarnation;
+        # calls sent to the earlier one are still for the same target.
         if (
             not self._core.is_own(dispatch.owner)
             or dispatch.service != self._service
@@ -251,9 +286,9 @@
             return types.Reason.WRONG_OWNER
         if not self._instance:
             return types.Reason.TARGET_ABSENT
-        if self._crashes and self._barred(dispatch, now):
+        if self._crash_history and self._is_barred(dispatch, now):
             return types.Reason.CRASHES_TARGETS
-        if self._draining and (not self.keyed or now >= self._leave_at):
+        if self._draining and (not self.keyed or now >= self._drain_ends_at):
             return types.Reason.DRAINING
         if not self.keyed:
             return None
@@ -263,13 +298,13 @@
             return types.Reason.NO_OWNER
         slot = self._slot(dispatch)
         refusal = self._core.refusal(slot, now)
-        if refusal is None and not self._holds.is_held(slot, now):
+        if refusal is None and not self._grants.is_held(slot, now):
             return types.Reason.SLOT_MOVING
         return refusal
 
-    def _barred(self, dispatch: calls.Dispatch, now: float) -> bool:
-        content = _content(dispatch)
-        return self._crashes.barred_for(content, now) > 0
+    def _is_barred(self, dispatch: calls.Dispatch, now: float) -> bool:
+        fingerprint = _fingerprint(dispatch)
+        return self._crash_history.barred_for(fingerprint, now) > 0
 
     def _slot(self, dispatch: calls.Dispatch) -> types.Slot:
         service_record = self._core.view.service_record(self._service)
@@ -278,82 +313,86 @@
         )
 
     def slot_loads(self) -> dict[int, float]:
-        """Returns the load of each slot owned here, in usual calls a second.
+        """Returns the load of each owned slot, in units of load per second.
 
-        A call counts by the time that this target takes for one, so that
-        a slow target has more load from the same calls.
+        A call counts as its expected duration divided by _LOAD_UNIT_S, so that
+        the same calls are more load at a slow target.
         """
-        since = {slot: held.since for slot, held in self._core.owned.items()}
+        since = {slot: owned.since for slot, owned in self._core.owned.items()}
         return self._meter.rates(since, self._timers.now)
 
     def _start(self, leg: Leg) -> None:
-        """Hands a call over, if it still may be: time has gone by."""
+        """Sends a call to the target, unless it must be refused by now."""
         now = self._timers.now
         dispatch = leg.dispatch
         refusal = self._refusal(dispatch, now)
         left = leg.deadline - now
-        if refusal is None and left < _LEAST_S:
+        if refusal is None and left < _MIN_REMAINING_S:
             refusal = types.Reason.DEADLINE_PASSED
         if refusal is not None:
             self._refuse(leg, refusal)
             self._admission.finish(None, dispatch.latency_objective, now)
             return
         leg.begun = now
-        request = dispatch.call.request_id
+        request_id = dispatch.call.request_id
         leg.exchange = self._link.send(
             functools.partial(self._encode, leg, self._instance),
-            left + _GRACE_S,
-            functools.partial(self._ran, leg),
-            functools.partial(self._codec.is_answer_to, request),
+            left + _ANSWER_GRACE_S,
+            functools.partial(self._handle_outcome, leg),
+            functools.partial(self._codec.is_answer_to, request_id),
         )
 
     def _encode(self, leg: Leg, instance: str) -> bytes:
-        """Returns a call's bytes; none once its deadline has passed."""
+        """Returns the bytes of a call; none if its time has run out."""
         left = leg.deadline - self._timers.now
-        if left < _LEAST_S:
+        if left < _MIN_REMAINING_S:
             return b""
         return self._codec.encode(leg.dispatch, int(left * 1000), instance)
 
-    def _ran(
+    def _handle_outcome(
         self,
         leg: Leg,
         outcome: result.Result[httplink.Answer, exchanges.Failure],
     ) -> None:
+        """Interprets what an exchange with the target ended with."""
         now = self._timers.now
-        worked: float | None = None
+        duration: float | None = None
         match outcome:
             case result.Success(httplink.Answer() as answer):
                 self.last_answered_at = now
                 completion = self._codec.decode_answer(leg.dispatch.leg, answer)
                 if completion.verdict is types.Verdict.ANSWERED:
-                    worked = now - leg.begun
-                    if self._crashes:
-                        self._clear(leg)
+                    duration = now - leg.begun
+                    if self._crash_history:
+                        self._clear_fingerprint(leg)
                 elif completion.reason is types.Reason.TARGET_FULL:
                     self._admission.reduce_capacity()
                 elif completion.reason is types.Reason.TARGET_MISDIRECTED:
-                    self._holds.renew_soon()
+                    self._grants.renew_soon()
             case result.Failure(exchanges.Failure() as failure):
-                completion = self._failed(leg, failure)
+                completion = self._handle_failure(leg, failure)
             case _:
                 raise AssertionError(outcome)
         self._log(leg, completion, now)
         self.observe(completion.verdict, now - leg.begun)
         self._finish(leg, completion)
-        self._admission.finish(worked, leg.dispatch.latency_objective, now)
+        self._admission.finish(duration, leg.dispatch.latency_objective, now)
 
-    def _failed(self, leg: Leg, failure: exchanges.Failure) -> calls.Completion:
+    def _handle_failure(
+        self, leg: Leg, failure: exchanges.Failure
+    ) -> calls.Completion:
+        """Returns the completion of a call that the target did not answer."""
         if failure.cause is exchanges.Cause.CLOSED and failure.sent:
-            self._note_broken(leg)
+            self._record_broken_run(leg)
         if failure.cause is exchanges.Cause.REFUSED:
             self._on_connection_refused()
         if not failure.sent:
-            late = failure.cause is exchanges.Cause.CANCELLED
+            is_late = failure.cause is exchanges.Cause.CANCELLED
             return calls.Completion(
                 leg.dispatch.leg,
                 types.Verdict.NOT_RUN,
                 types.Reason.DEADLINE_PASSED
-                if late
+                if is_late
                 else types.Reason.TARGET_ABSENT,
             )
         return calls.Completion(
@@ -362,18 +401,20 @@
             _REASONS[failure.cause],
         )
 
-    def _note_broken(self, leg: Leg) -> None:
+    def _record_broken_run(self, leg: Leg) -> None:
         now = self._timers.now
-        since = now - _CRASH_SEEN_S
-        self._broken = [run for run in self._broken if run[2] >= since]
-        self._broken.append((_content(leg.dispatch), leg.begun, now))
-
-    def _clear(self, leg: Leg) -> None:
-        content = _content(leg.dispatch)
-        if self._crashes.clear(content):
-            self.on_content_cleared(content)
-
-    def _turned_down(self, leg: Leg, refusal: admission.Refusal) -> None:
+        since = now - _CRASH_DETECTION_S
+        self._broken_runs = [
+            run for run in self._broken_runs if run[2] >= since
+        ]
+        self._broken_runs.append((_fingerprint(leg.dispatch), leg.begun, now))
+
+    def _clear_fingerprint(self, leg: Leg) -> None:
+        fingerprint = _fingerprint(leg.dispatch)
+        if self._crash_history.clear(fingerprint):
+            self.on_content_cleared(fingerprint)
+
+    def _refuse_queued(self, leg: Leg, refusal: admission.Refusal) -> None:
         self._refuse(leg, types.Reason.QUEUE_FULL, refusal)
 
     def _refuse(
@@ -411,24 +452,28 @@
         now: float,
         refusal: admission.Refusal | None = None,
     ) -> None:
-        """Logs what became of a call.
+        """Logs the completion of a call.
 
         Args:
-            leg: The call.
-            completion: What became of it.
+            leg: The leg.
+            completion: Its completion.
             now: Monotonic time, seconds.
-            refusal: Why the queue turned it down, as things stood then.
+            refusal: The state of the queue when it refused the call, if it
+                did.
         """
         reason = completion.reason
-        seen: dict[str, int] = {
+        queue_state: dict[str, int] = {
             "running": self._admission.running,
             "waiting": self._admission.waiting,
         }
         if refusal is not None:
-            seen = {"running": refusal.running, "waiting": refusal.waiting}
-            seen["work_ms"] = round(refusal.expected_duration * 1000)
+            queue_state = {
+                "running": refusal.running,
+                "waiting": refusal.waiting,
+            }
+            queue_state["work_ms"] = round(refusal.expected_duration * 1000)
             if math.isfinite(refusal.expected_wait):
-                seen["wait_ms"] = round(refusal.expected_wait * 1000)
+                queue_state["wait_ms"] = round(refusal.expected_wait * 1000)
         logs.request_event(
             "call",
             completion.verdict is not types.Verdict.ANSWERED,
@@ -440,7 +485,7 @@
             status=completion.status,
             ms=round((now - leg.begun) * 1000, 1) if leg.begun else 0,
             left_ms=round((leg.deadline - now) * 1000),
-            **seen,
+            **queue_state,
         )
 
 
@@ -455,12 +500,12 @@
 }
 
 
-def _content(dispatch: calls.Dispatch) -> str:
+def _fingerprint(dispatch: calls.Dispatch) -> str:
     return crashes.fingerprint(dispatch.service, dispatch.call)
 
 
-def _forget(content: str) -> None:
-    del content
+def _ignore_fingerprint(fingerprint: str) -> None:
+    del fingerprint
 
 
 def _ignore(verdict: types.Verdict, seconds: float) -> None:
--- a/tests/traffic/test_runner.py
+++ b/tests/traffic/test_runner.py
@@ -12,12 +12,12 @@
 CAPACITY = 12
 
 
-class Beside:
-    """A runner beside a target that answers at once, as it is told."""
+class RefusingTarget:
+    """A runner whose target refuses each call at once for one reason."""
 
     def __init__(self, reason):
         self.reason = reason
-        self.doubts = 0
+        self.renewals = 0
         self.now = 1.0
         core = module_types.SimpleNamespace(
             is_own={"i", "earlier"}.__contains__,
@@ -26,10 +26,10 @@
         self.runner = runner.Runner(
             "s",
             core,
-            module_types.SimpleNamespace(renew_soon=self._doubt),
+            module_types.SimpleNamespace(renew_soon=self._renew_soon),
             module_types.SimpleNamespace(send=self._send),
             runner.Codec(
-                lambda *unused: b"", lambda *unused: True, self._judge
+                lambda *unused: b"", lambda *unused: True, self._decode_answer
             ),
             module_types.SimpleNamespace(now=self.now),
             lambda: None,
@@ -37,48 +37,50 @@
         )
         self.runner.attach("target", CAPACITY)
 
-    def _doubt(self):
-        self.doubts += 1
+    def _renew_soon(self):
+        self.renewals += 1
 
     def _send(self, data, timeout, done, belongs):
         done(result.Success(httplink.Answer(503, [], b"")))
 
-    def _judge(self, leg, answer):
+    def _decode_answer(self, leg, answer):
         return calls.Completion(leg, types.Verdict.NOT_RUN, self.reason)
 
     def call(self):
         call = calls.Call("r", "s", "GET", "/", b"", b"", None)
-        told = []
+        completions = []
         self.runner.submit(
             calls.Dispatch("i", 1, "s", call, 1.0, 1, True, 0.5, 0.5),
             "i",
-            told.append,
+            completions.append,
         )
-        return told[0]
+        return completions[0]
 
 
 @pytest.mark.parametrize(
-    ("reason", "keeps_capacity", "doubts"),
+    ("reason", "keeps_capacity", "renewals"),
     [
         (types.Reason.TARGET_REFUSED, True, 0),
         (types.Reason.TARGET_FULL, False, 0),
         (types.Reason.TARGET_MISDIRECTED, True, 1),
     ],
 )
-def test_only_a_full_target_gets_fewer_calls(reason, keeps_capacity, doubts):
-    beside = Beside(reason)
+def test_reaction_to_refusal_depends_on_reason(
+    reason, keeps_capacity, renewals
+):
+    subject = RefusingTarget(reason)
     for _ in range(5):
-        assert beside.call().reason is reason
-    assert (beside.runner.queue.capacity == CAPACITY) is keeps_capacity
-    assert (beside.doubts > 0) is (doubts > 0)
+        assert subject.call().reason is reason
+    assert (subject.runner.queue.capacity == CAPACITY) is keeps_capacity
+    assert (subject.renewals > 0) is (renewals > 0)
 
 
-class Breaking:
-    """A runner whose target breaks each call's connection when told to."""
+class ControlledTarget:
+    """A runner whose target ends each call when the test says so."""
 
     def __init__(self):
         self.sent = []
-        self.told = []
+        self.completions = []
         self.timers = module_types.SimpleNamespace(now=1.0)
         core = module_types.SimpleNamespace(
             is_own={"i", "earlier"}.__contains__,
@@ -108,12 +110,12 @@
 
     def call(self, path, owner="i"):
         call = calls.Call("r", "s", "GET", path, b"", b"", None)
-        leg = len(self.told) + 1
-        self.told.append(None)
+        leg = len(self.completions) + 1
+        self.completions.append(None)
         self.runner.submit(
             calls.Dispatch(owner, leg, "s", call, 9.0, 1, True, 0.5, 0.5),
             "i",
-            functools.partial(self.told.__setitem__, leg - 1),
+            functools.partial(self.completions.__setitem__, leg - 1),
         )
 
     def end(self, index, broken):
@@ -125,44 +127,45 @@
             self.sent[index](result.Success(httplink.Answer(200, [], b"")))
 
 
-def test_a_call_sent_after_a_crash_is_not_taken_for_its_cause():
-    beside = Breaking()
-    beside.call("/deadly")
-    beside.end(0, broken=True)
-    # Nobody has noticed yet that the target is gone.
-    beside.call("/harmless")
-    beside.end(1, broken=True)
-    assert len(beside.runner.pop_crashed_runs()) == 1
+def test_call_sent_after_crash_is_not_its_cause():
+    subject = ControlledTarget()
+    subject.call("/deadly")
+    subject.end(0, broken=True)
+    # Sent before the router has noticed the crash.
+    subject.call("/harmless")
+    subject.end(1, broken=True)
+    assert len(subject.runner.pop_crashed_runs()) == 1
 
 
-def test_an_answer_cut_before_others_were_given_is_no_crash():
-    beside = Breaking()
-    beside.call("/cut")
-    beside.end(0, broken=True)
-    beside.timers.now += 0.5
-    beside.call("/good")
-    beside.end(1, broken=False)
-    beside.call("/deadly")
-    beside.end(2, broken=True)
-    assert len(beside.runner.pop_crashed_runs()) == 1
+def test_broken_connection_followed_by_answer_is_no_crash():
+    subject = ControlledTarget()
+    subject.call("/cut")
+    subject.end(0, broken=True)
+    subject.timers.now += 0.5
+    subject.call("/good")
+    subject.end(1, broken=False)
+    subject.call("/deadly")
+    subject.end(2, broken=True)
+    assert len(subject.runner.pop_crashed_runs()) == 1
 
 
-def test_all_calls_that_a_crash_met_may_be_its_cause():
-    beside = Breaking()
+def test_all_calls_running_at_crash_may_be_its_cause():
+    subject = ControlledTarget()
     for path in ("/a", "/b", "/c"):
-        beside.call(path)
+        subject.call(path)
     for index in range(3):
-        beside.end(index, broken=True)
-    assert len(beside.runner.pop_crashed_runs()) == 3
+        subject.end(index, broken=True)
+    assert len(subject.runner.pop_crashed_runs()) == 3
 
 
-def test_calls_for_an_earlier_id_of_the_process_are_run():
-    # A daemon that left its lease refused what had waited at it since before.
-    beside = Breaking()
+def test_calls_for_earlier_incarnation_are_run():
+    # A daemon that had left its lease refused the calls that were queued under
+    # its earlier incarnation.
+    subject = ControlledTarget()
     for _ in range(CAPACITY + 1):
-        beside.call("/waits", owner="earlier")
-    beside.end(0, broken=False)
-    assert len(beside.sent) == CAPACITY + 1
-    assert beside.told[CAPACITY] is None
-    beside.call("/x", owner="another")
-    assert beside.told[-1].reason is types.Reason.WRONG_OWNER
+        subject.call("/waits", owner="earlier")
+    subject.end(0, broken=False)
+    assert len(subject.sent) == CAPACITY + 1
+    assert subject.completions[CAPACITY] is None
+    subject.call("/x", owner="another")
+    assert subject.completions[-1].reason is types.Reason.WRONG_OWNER
