--- a/tamarackgap/traffic/balancer.py
+++ b/tamarackgap/traffic/balancer.py
@@ -1,9 +1,10 @@
-"""Chooses the daemon whose target answers a call soonest.
+"""Chooses the daemon whose target is likely to answer a call first.
 
-Answers services whose targets differ in speed and load: each entry knows of
-every target what its daemon told last, and adds what it has sent since. Where
-there are many targets there are many entries as well, which would all send to
-the one that was told to be idle: each compares two drawn at random instead.
+Targets of a service may differ in speed and load. Each daemon keeps the state
+that the daemons of all targets reported last, and adds the calls that it has
+sent since. With many targets, many daemons send calls and would all choose the
+target that was reported idle; so each draws two targets at random and compares
+only these.
 """
 
 import random
@@ -11,43 +12,46 @@
 
 import msgspec
 
-# A daemon that has told nothing for so long gets no new calls; where it tells
-# seldom, for so many of its intervals: one message may be lost.
+# A daemon that has not reported for this long gets no new calls. One that
+# reports seldom may stay silent for _SILENCE_INTERVALS of its report intervals,
+# since one report may be lost.
 SILENCE_TIMEOUT_S = 1.2
 _SILENCE_INTERVALS = 2.4
-# What became of a target's calls is half forgotten in this time.
+# Half-life of the counts of failures and successes.
 _OUTCOME_HALF_LIFE_S = 2.0
-# A failure for each success counts as so many usual calls of time.
+# A failure ratio of one adds this many usual durations to an estimate.
 _FAILURE_COST = 3.0
-_FIRST_SLOWNESS = 0.3
-# Estimates this close to the best are as good as the best.
-_CLOSE = 0.1
-# Of more targets than this, two are drawn and compared (played loads of
-# bench/loads.py: with 6 targets comparing all is as good, with 8 it serves two
-# calls in a hundred less in their aim, with 24 a tenth less).
-_COMPARED = 6
+# Relative latency that is assumed where no target has answered a call.
+_INITIAL_RELATIVE_LATENCY = 0.3
+# Estimates that exceed the best by up to this share count as equal to it.
+_TIE_MARGIN = 0.1
+# Of more targets than this, only two are drawn and compared. In bench/loads.py
+# comparing all is as good with 6 targets; with 8, two calls in a hundred fewer
+# are answered within their latency objective, with 24 a tenth fewer.
+_MAX_COMPARED = 6
 
 
 class Candidate(msgspec.Struct):
-    """What an entry knows of one target.
+    """Holds the last known state of one target.
 
     Attributes:
-        incarnation: Its daemon.
-        service: Its service.
-        accepting: Whether it takes new calls.
-        capacity: Calls that it runs at once.
-        reported_load: Calls there, running and waiting, when it was last told
-            of.
-        sent_since_report: Calls sent there since, and not completed.
-        relative_latency: Usual time of a call, as a part of its route's aim; 0
-            where it has served none.
-        last_heard: When its daemon was last heard, seconds.
-        data_centre: Where it stands.
-        process: Id of the daemon's process.
-        interval: How often its daemon tells of it, seconds.
-        failures: Recent failures, each weighed by its age.
-        successes: Recent calls that it answered well, likewise.
-        weighed_at: When both were right, seconds.
+        incarnation: The incarnation of its daemon.
+        service: The service that it runs.
+        accepting: Whether it accepts new calls.
+        capacity: Number of calls that it runs at once.
+        reported_load: Number of calls there, running and waiting, in the last
+            status or completion.
+        sent_since_report: Number of calls sent there since then.
+        relative_latency: Usual duration of a call divided by its latency
+            objective; 0 if it has answered none.
+        last_heard: Monotonic time of the last status or completion, seconds.
+        data_centre: The data centre of its daemon.
+        process: Id of its daemon's process.
+        interval: Time between two statuses of its daemon, seconds.
+        failures: Number of failed calls, decayed by age.
+        successes: Number of successful calls, decayed by age.
+        weighed_at: Monotonic time up to which both numbers are decayed,
+            seconds.
     """
 
     incarnation: str
@@ -66,55 +70,62 @@
     weighed_at: float = 0.0
 
     def failure_ratio(self, now: float) -> float:
-        """Returns how many calls failed of late for each that went well.
+        """Returns the recent number of failures per success.
 
-        A few failures among many calls must not leave a target unused.
+        It is a ratio so that a few failures among many calls do not leave a
+        target unused.
         """
-        factor = self._factor(now)
+        factor = self._decay_factor(now)
         return self.failures * factor / (1.0 + self.successes * factor)
 
     def record_failure(self, now: float) -> None:
-        """Notes a failure."""
-        self._weigh(now)
+        """Counts a failed call."""
+        self._decay(now)
         self.failures += 1.0
 
     def record_success(self, now: float) -> None:
-        """Notes a call that was answered well."""
-        self._weigh(now)
+        """Counts a successful call."""
+        self._decay(now)
         self.successes += 1.0
 
-    def _weigh(self, now: float) -> None:
-        factor = self._factor(now)
+    def _decay(self, now: float) -> None:
+        factor = self._decay_factor(now)
         self.failures *= factor
         self.successes *= factor
         self.weighed_at = now
 
-    def _factor(self, now: float) -> float:
+    def _decay_factor(self, now: float) -> float:
         return 0.5 ** ((now - self.weighed_at) / _OUTCOME_HALF_LIFE_S)
 
     def is_usable(self, now: float) -> bool:
-        """Returns whether calls may be sent there."""
+        """Returns whether new calls may be sent to the target."""
         return self.accepting and self.capacity > 0 and not self.is_silent(now)
 
     def is_silent(self, now: float) -> bool:
-        """Returns whether its daemon has told nothing for too long."""
+        """Returns whether the daemon has not reported for too long."""
         limit = max(SILENCE_TIMEOUT_S, self.interval * _SILENCE_INTERVALS)
         return now - self.last_heard >= limit
 
     def estimate(self, now: float, usual: float) -> float:
-        """Returns the likely time to an answer, as a part of the aim.
+        """Returns the expected time to an answer.
 
         Args:
             now: Monotonic time, seconds.
-            usual: Slowness to assume where nothing is known.
+            usual: Relative latency to assume if the target has answered no
+                call.
+
+        Returns:
+            The expected time divided by the latency objective of the call.
         """
         load = self.reported_load + self.sent_since_report
-        over = max(0, load + 1 - self.capacity)
-        turns = 1.0 + over / max(1, self.capacity)
-        # Nearly full targets slow down, and estimates are rough.
-        turns += 0.2 * load / max(1, self.capacity)
-        turns += _FAILURE_COST * self.failure_ratio(now)
-        return (self.relative_latency or usual) * turns
+        queued = max(0, load + 1 - self.capacity)
+        # In units of the usual duration of a call.
+        durations = 1.0 + queued / max(1, self.capacity)
+        # A target slows down as it fills, and its load is not known exactly; so
+        # calls within the capacity count a little as well.
+        durations += 0.2 * load / max(1, self.capacity)
+        durations += _FAILURE_COST * self.failure_ratio(now)
+        return (self.relative_latency or usual) * durations
 
 
 def choose(
@@ -128,11 +139,12 @@
 
     Args:
         candidates: Targets of the call's service.
-        tried: Incarnations that have been tried; they come last.
+        tried: Incarnations that have been tried and are left out.
         now: Monotonic time, seconds.
-        rng: Decides between equals, so that entries do not move in step.
-        data_centre: The entry's data centre. Of those that are as good as the
-            best, one there is taken: what crosses data centres has a price.
+        rng: Breaks ties, so that daemons do not all choose the same target.
+        data_centre: The data centre that is preferred among targets that are
+            about as good as the best, since traffic between data centres is
+            costly.
     """
     usable = [
         candidate
@@ -146,18 +158,18 @@
         for candidate in usable
         if candidate.relative_latency
     ]
-    usual = sum(known) / len(known) if known else _FIRST_SLOWNESS
-    if len(usable) > _COMPARED:
+    usual = sum(known) / len(known) if known else _INITIAL_RELATIVE_LATENCY
+    if len(usable) > _MAX_COMPARED:
         usable = _draw_two(usable, now, usual, rng, data_centre)
     estimates = [
         (candidate.estimate(now, usual), candidate) for candidate in usable
     ]
-    limit = min(estimate for estimate, _ in estimates) * (1 + _CLOSE)
+    limit = min(estimate for estimate, _ in estimates) * (1 + _TIE_MARGIN)
     best = [candidate for estimate, candidate in estimates if estimate <= limit]
-    close = [
+    nearby = [
         candidate for candidate in best if candidate.data_centre == data_centre
     ]
-    return rng.choice(close or best)
+    return rng.choice(nearby or best)
 
 
 def _draw_two(
@@ -167,9 +179,9 @@
     rng: random.Random,
     data_centre: str,
 ) -> list[Candidate]:
-    """Returns two targets, drawn by how many calls each can serve well.
+    """Draws two targets, weighted by how many calls each can serve.
 
-    One of them stands in the entry's data centre, if any does.
+    The first is drawn from the preferred data centre if any target is there.
     """
     weights = [
         candidate.capacity
@@ -177,12 +189,12 @@
         / (1.0 + _FAILURE_COST * candidate.failure_ratio(now))
         for candidate in usable
     ]
-    here = [
+    nearby = [
         weight if candidate.data_centre == data_centre else 0.0
         for candidate, weight in zip(usable, weights, strict=True)
     ]
-    places = range(len(usable))
-    first = rng.choices(places, here if any(here) else weights)[0]
+    indexes = range(len(usable))
+    first = rng.choices(indexes, nearby if any(nearby) else weights)[0]
     weights[first] = 0.0
-    second = rng.choices(places, weights)[0]
+    second = rng.choices(indexes, weights)[0]
     return [usable[first], usable[second]]
--- a/tamarackgap/traffic/targets.py
+++ b/tamarackgap/traffic/targets.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of all targets, from what their daemons tell."""
+"""Keeps the state of all targets as their daemons report it."""
 
 from collections.abc import Iterator
 
@@ -8,49 +8,59 @@
 from tamarackgap.peers import calls
 from tamarackgap.traffic import balancer
 
-# A daemon that has told nothing for so long is forgotten, seconds.
-_FORGOTTEN_S = 10 * balancer.SILENCE_TIMEOUT_S
+# A daemon that has not reported for this long is forgotten.
+_EXPIRY_S = 10 * balancer.SILENCE_TIMEOUT_S
 
 
 class TargetDirectory:
-    """The targets that calls may be sent to, each by its daemon."""
+    """Holds the targets that calls may be sent to, by their daemons."""
 
     def __init__(
         self, core: ownership.Ownership, timers: scheduler.Scheduler
     ) -> None:
-        """Creates an empty list.
+        """Creates an empty directory.
 
         Args:
-            core: Knows the addresses of daemons that have told nothing yet.
+            core: Provides the addresses of daemons that have not reported yet.
             timers: The loop's scheduler.
         """
         self._core = core
         self._timers = timers
+        # By the incarnations of their daemons.
         self._candidates: dict[str, balancer.Candidate] = {}
         self._addresses: dict[str, str] = {}
-        # The incarnations at each address.
-        self._at: dict[str, set[str]] = {}
+        self._incarnations_at: dict[str, set[str]] = {}
 
     def update_status(
         self, sender: str, address: str, status: calls.TargetStatus
     ) -> list[str]:
-        """Takes in what a daemon tells of itself.
+        """Records the status that a daemon reports.
+
+        Args:
+            sender: The daemon's incarnation.
+            address: The daemon's `ip:port`.
+            status: The state of its target.
 
         Returns:
-            Incarnations that are gone: another process is at their address.
+            Incarnations that have ended, since another process has reported
+            from their address.
         """
-        earlier = [name for name in self._at.get(address, ()) if name != sender]
+        others = [
+            name
+            for name in self._incarnations_at.get(address, ())
+            if name != sender
+        ]
         candidate = self._candidates.get(sender)
-        for name in earlier:
-            same = self._candidates.get(name)
-            if candidate is None and same and same.process == status.process:
-                candidate = self._rename(same, sender)
+        for name in others:
+            other = self._candidates.get(name)
+            if candidate is None and other and other.process == status.process:
+                candidate = self._rename(other, sender)
         if candidate is None:
             candidate = balancer.Candidate(sender)
             logs.event("daemon_heard", incarnation=sender, address=address)
         self._candidates[sender] = candidate
-        gone = [name for name in earlier if name in self._candidates]
-        self._place(sender, address)
+        ended = [name for name in others if name in self._candidates]
+        self._set_address(sender, address)
         if candidate.accepting != status.accepting:
             logs.event(
                 "target_state_heard",
@@ -65,35 +75,35 @@
         candidate.interval = status.interval
         candidate.capacity = status.capacity
         candidate.relative_latency = status.relative_latency
-        self._loaded(candidate, status.running + status.waiting)
+        self._set_load(candidate, status.running + status.waiting)
         candidate.last_heard = self._timers.now
-        return gone
+        return ended
 
     def record_load(self, sender: str, completion: calls.Completion) -> None:
-        """Takes in the load that a completion tells."""
+        """Records the load that a daemon reports with a completion."""
         candidate = self._candidates.get(sender)
         if candidate is not None:
-            self._loaded(candidate, completion.running + completion.waiting)
+            self._set_load(candidate, completion.running + completion.waiting)
             candidate.last_heard = max(candidate.last_heard, self._timers.now)
 
     def remove(self, incarnation: str) -> None:
-        """Forgets a daemon that is gone."""
+        """Removes a daemon that is gone."""
         self._candidates.pop(incarnation, None)
-        self._displace(incarnation)
+        self._remove_address(incarnation)
         logs.event("daemon_dropped", incarnation=incarnation)
 
     def is_heard(self, incarnation: str) -> bool:
-        """Returns whether a daemon has told of itself lately."""
+        """Returns whether a daemon has reported recently."""
         candidate = self._candidates.get(incarnation)
         return candidate is not None and not self.is_silent(candidate)
 
     def is_silent(self, candidate: balancer.Candidate) -> bool:
-        """Returns whether a target's daemon has told nothing lately."""
+        """Returns whether a target's daemon has not reported for too long."""
         return candidate.is_silent(self._timers.now)
 
     def expired(self) -> list[str]:
-        """Returns the daemons that were not heard for long."""
-        since = self._timers.now - _FORGOTTEN_S
+        """Returns the daemons whose last report is too old to keep them."""
+        since = self._timers.now - _EXPIRY_S
         return [
             name
             for name, candidate in self._candidates.items()
@@ -101,7 +111,7 @@
         ]
 
     def of_service(self, service: str) -> Iterator[balancer.Candidate]:
-        """Yields a service's targets."""
+        """Yields the targets of a service."""
         return (
             candidate
             for candidate in self._candidates.values()
@@ -109,21 +119,22 @@
         )
 
     def for_owner(self, incarnation: types.Incarnation) -> balancer.Candidate:
-        """Returns a key's owner, whether it has told of itself or not."""
+        """Returns the target of a key's owner, even if it never reported."""
         candidate = self._candidates.get(incarnation)
         if candidate is None:
             return balancer.Candidate(incarnation, last_heard=self._timers.now)
         return candidate
 
     def addresses(self) -> set[str]:
-        """Returns the `ip:port` of all daemons that have told of themselves.
+        """Returns the `ip:port` of all daemons that have reported.
 
-        One that has left its lease still takes calls until it ends.
+        A daemon that has given up its lease is included, since it still
+        accepts calls until it ends.
         """
-        return set(self._at)
+        return set(self._incarnations_at)
 
     def has_room(self, service: str) -> bool:
-        """Returns whether one more call would wait for no other."""
+        """Returns whether a target of a service can run one more call now."""
         now = self._timers.now
         return any(
             candidate.reported_load + candidate.sent_since_report
@@ -143,10 +154,10 @@
     def _rename(
         self, candidate: balancer.Candidate, incarnation: str
     ) -> balancer.Candidate:
-        """Follows a process that goes on as another incarnation.
+        """Moves a candidate to the new incarnation of its daemon's process.
 
-        It still answers the calls that it had, after its lease was lost or
-        while it leaves.
+        After a process has lost its lease, or while it leaves, it goes on
+        under another incarnation and still answers the calls that it had.
         """
         logs.event(
             "daemon_renamed",
@@ -154,26 +165,26 @@
             earlier=candidate.incarnation,
         )
         del self._candidates[candidate.incarnation]
-        self._displace(candidate.incarnation)
+        self._remove_address(candidate.incarnation)
         candidate.incarnation = incarnation
         return candidate
 
-    def _place(self, incarnation: str, address: str) -> None:
-        known = self._addresses.get(incarnation)
-        if known != address:
-            self._displace(incarnation)
+    def _set_address(self, incarnation: str, address: str) -> None:
+        previous = self._addresses.get(incarnation)
+        if previous != address:
+            self._remove_address(incarnation)
             self._addresses[incarnation] = address
-            self._at.setdefault(address, set()).add(incarnation)
+            self._incarnations_at.setdefault(address, set()).add(incarnation)
 
-    def _displace(self, incarnation: str) -> None:
+    def _remove_address(self, incarnation: str) -> None:
         address = self._addresses.pop(incarnation, None)
         if address is None:
             return
-        names = self._at[address]
+        names = self._incarnations_at[address]
         names.discard(incarnation)
         if not names:
-            del self._at[address]
+            del self._incarnations_at[address]
 
-    def _loaded(self, candidate: balancer.Candidate, busy: int) -> None:
-        candidate.reported_load = busy
+    def _set_load(self, candidate: balancer.Candidate, load: int) -> None:
+        candidate.reported_load = load
         candidate.sent_since_report = 0
--- a/tests/traffic/test_balancer.py
+++ b/tests/traffic/test_balancer.py
@@ -16,27 +16,29 @@
 
 
 def choose(*candidates, tried=(), now=0.0):
-    found = balancer.choose(candidates, frozenset(tried), now, random.Random(1))
-    return found.incarnation if found else None
+    chosen = balancer.choose(
+        candidates, frozenset(tried), now, random.Random(1)
+    )
+    return chosen.incarnation if chosen else None
 
 
-def test_the_less_loaded_is_chosen():
+def test_less_loaded_target_is_chosen():
     assert (
         choose(candidate("a", reported_load=5), candidate("b", reported_load=1))
         == "b"
     )
 
 
-def test_a_fast_target_is_chosen_before_a_slow_one_of_equal_load():
+def test_faster_target_of_equal_load_is_chosen():
     assert choose(candidate("a", relative_latency=0.6), candidate("b")) == "b"
 
 
-def test_a_queue_at_the_fast_one_is_weighed_against_slowness():
+def test_slow_target_is_chosen_over_long_queue_at_fast_one():
     slow = candidate("slow", relative_latency=0.45)
     assert choose(slow, candidate("fast", reported_load=12)) == "slow"
 
 
-def test_what_was_sent_since_counts():
+def test_calls_sent_since_report_count_as_load():
     assert (
         choose(
             candidate("a", sent_since_report=6), candidate("b", reported_load=3)
@@ -45,7 +47,7 @@
     )
 
 
-def test_one_that_has_served_none_gets_its_turn():
+def test_target_that_has_answered_no_call_is_chosen():
     assert (
         choose(
             candidate("new", relative_latency=0.0),
@@ -55,13 +57,13 @@
     )
 
 
-def test_silent_leaving_and_tried_ones_are_left_out():
+def test_silent_leaving_and_tried_targets_are_left_out():
     silent = candidate("a", last_heard=-2.0)
     leaving = candidate("b", accepting=False)
     assert choose(silent, leaving, candidate("c"), tried=["c"]) is None
 
 
-def test_failures_are_shunned_and_forgotten():
+def test_failures_count_and_decay():
     failing = candidate("a", reported_load=0)
     failing.record_failure(0.0)
     failing.record_failure(0.0)
@@ -71,7 +73,7 @@
     assert choose(failing, later, now=30.0) == "a"
 
 
-def test_a_few_failures_among_many_calls_weigh_little():
+def test_few_failures_among_many_calls_count_little():
     lossy = candidate("a", reported_load=1)
     for _ in range(19):
         lossy.record_success(0.0)
@@ -79,30 +81,30 @@
     assert choose(lossy, candidate("b", reported_load=6)) == "a"
 
 
-def test_one_in_the_same_data_centre_is_taken_among_equals():
+def test_target_in_same_data_centre_is_preferred_among_equals():
     here = candidate("a", data_centre="north", reported_load=1)
     there = candidate("b", data_centre="south")
-    found = balancer.choose(
+    chosen = balancer.choose(
         [there, here], frozenset(), 0.0, random.Random(1), "north"
     )
-    assert found is here
+    assert chosen is here
 
 
-def test_one_of_many_that_fails_is_hardly_used():
+def test_failing_target_of_many_gets_few_calls():
     many = [candidate(f"t{index}") for index in range(10)]
     for _ in range(4):
         many[0].record_failure(0.0)
     rng = random.Random(1)
     chosen = [balancer.choose(many, frozenset(), 0.0, rng) for _ in range(2000)]
-    # Less than a tenth of what the others get.
+    # A tenth of an even share.
     assert chosen.count(many[0]) < 0.1 * 2000 / len(many)
 
 
-def test_the_idle_one_of_many_does_not_get_all_calls():
+def test_idle_target_of_many_does_not_get_all_calls():
     many = [candidate(f"t{index}", reported_load=3) for index in range(10)]
     many[0].reported_load = 0
     rng = random.Random(1)
     chosen = [balancer.choose(many, frozenset(), 0.0, rng) for _ in range(2000)]
-    # It is drawn as one of two.
+    # Each call compares only two targets, so it is compared for 1 in 5 calls.
     assert chosen.count(many[0]) < 0.3 * 2000
     assert all(chosen.count(each) for each in many)
--- a/tests/traffic/test_targets.py
+++ b/tests/traffic/test_targets.py
@@ -6,7 +6,7 @@
 from tamarackgap.traffic import balancer, targets
 
 
-def status(**changed):
+def status(**fields):
     values = {
         "service": "s",
         "accepting": True,
@@ -18,7 +18,7 @@
         "data_centre": "north",
         "process": "p1",
         "interval": 0.25,
-        **changed,
+        **fields,
     }
     return calls.TargetStatus(**values)
 
@@ -34,84 +34,84 @@
     return timers, targets.TargetDirectory(core, timers)
 
 
-def test_another_process_at_an_address_means_the_earlier_is_gone(subject):
-    _, found = subject
-    assert found.update_status("a", "x:1", status()) == []
-    assert found.update_status("b", "y:1", status()) == []
-    assert found.update_status("c", "x:1", status(process="p2")) == ["a"]
+def test_new_process_at_address_ends_earlier_daemon(subject):
+    _, directory = subject
+    assert directory.update_status("a", "x:1", status()) == []
+    assert directory.update_status("b", "y:1", status()) == []
+    assert directory.update_status("c", "x:1", status(process="p2")) == ["a"]
 
 
-def test_a_process_that_goes_on_under_another_name_is_not_gone(subject):
-    # Calls in progress at a daemon that left its lease were taken for lost.
-    _, found = subject
-    found.update_status("a", "x:1", status())
-    before = next(found.of_service("s"))
-    assert found.update_status("b", "x:1", status(accepting=False)) == []
-    (after,) = found.of_service("s")
+def test_process_with_new_incarnation_keeps_its_candidate(subject):
+    # Calls at a daemon that had given up its lease were failed as lost.
+    _, directory = subject
+    directory.update_status("a", "x:1", status())
+    before = next(directory.of_service("s"))
+    assert directory.update_status("b", "x:1", status(accepting=False)) == []
+    (after,) = directory.of_service("s")
     assert after is before
     assert after.incarnation == "b"
     assert not after.accepting
-    assert not found.is_heard("a")
-    # News of the earlier name that come late do not bring it back for good.
-    found.update_status("a", "x:1", status())
-    assert found.update_status("b", "x:1", status()) in ([], ["a"])
-    assert found.address("b") == "x:1"
-
-
-def test_a_daemon_that_left_its_lease_keeps_its_address_until_it_ends(subject):
-    _, found = subject
-    found.update_status("a", "x:1", status())
-    found.update_status("b", "x:1", status())
-    assert found.addresses() == {"x:1"}
-    found.remove("b")
-    assert found.addresses() == set()
-
-
-def test_only_targets_of_a_service_are_listed(subject):
-    _, found = subject
-    found.update_status("a", "x:1", status())
-    found.update_status("b", "y:1", status(service="t"))
-    assert [c.incarnation for c in found.of_service("s")] == ["a"]
-
-
-def test_room_is_what_is_left_of_the_capacity(subject):
-    _, found = subject
-    found.update_status("a", "x:1", status(running=3))
-    assert found.has_room("s")
-    next(found.of_service("s")).sent_since_report = 1
-    assert not found.has_room("s")
-    found.record_load(
+    assert not directory.is_heard("a")
+    # A late status of the earlier incarnation does not restore it for good.
+    directory.update_status("a", "x:1", status())
+    assert directory.update_status("b", "x:1", status()) in ([], ["a"])
+    assert directory.address("b") == "x:1"
+
+
+def test_address_is_kept_after_lease_until_daemon_is_removed(subject):
+    _, directory = subject
+    directory.update_status("a", "x:1", status())
+    directory.update_status("b", "x:1", status())
+    assert directory.addresses() == {"x:1"}
+    directory.remove("b")
+    assert directory.addresses() == set()
+
+
+def test_only_targets_of_service_are_listed(subject):
+    _, directory = subject
+    directory.update_status("a", "x:1", status())
+    directory.update_status("b", "y:1", status(service="t"))
+    assert [c.incarnation for c in directory.of_service("s")] == ["a"]
+
+
+def test_has_room_compares_load_with_capacity(subject):
+    _, directory = subject
+    directory.update_status("a", "x:1", status(running=3))
+    assert directory.has_room("s")
+    next(directory.of_service("s")).sent_since_report = 1
+    assert not directory.has_room("s")
+    directory.record_load(
         "a", calls.Completion(1, calls.types.Verdict.ANSWERED, running=2)
     )
-    assert found.has_room("s")
+    assert directory.has_room("s")
 
 
-def test_silence_is_noticed_and_forgotten_in_the_end(subject):
-    timers, found = subject
-    found.update_status("a", "x:1", status())
-    assert found.is_heard("a")
+def test_silent_daemon_expires(subject):
+    timers, directory = subject
+    directory.update_status("a", "x:1", status())
+    assert directory.is_heard("a")
     timers.now += balancer.SILENCE_TIMEOUT_S
-    assert not found.is_heard("a")
-    assert found.expired() == []
+    assert not directory.is_heard("a")
+    assert directory.expired() == []
     timers.now += 10 * balancer.SILENCE_TIMEOUT_S
-    assert found.expired() == ["a"]
-    found.remove("a")
-    assert not list(found.of_service("s"))
+    assert directory.expired() == ["a"]
+    directory.remove("a")
+    assert not list(directory.of_service("s"))
 
 
-def test_a_daemon_that_tells_seldom_is_waited_for_longer(subject):
-    timers, found = subject
-    found.update_status("a", "x:1", status(interval=1.0))
+def test_silence_timeout_grows_with_report_interval(subject):
+    timers, directory = subject
+    directory.update_status("a", "x:1", status(interval=1.0))
     timers.now += 2 * 1.0
-    assert found.is_heard("a")
-    assert next(found.of_service("s")).is_usable(timers.now)
+    assert directory.is_heard("a")
+    assert next(directory.of_service("s")).is_usable(timers.now)
     timers.now += 1.0
-    assert not found.is_heard("a")
-    assert not next(found.of_service("s")).is_usable(timers.now)
+    assert not directory.is_heard("a")
+    assert not next(directory.of_service("s")).is_usable(timers.now)
 
 
-def test_an_owner_that_has_told_nothing_is_known_by_its_record(subject):
-    _, found = subject
-    assert found.for_owner("known").incarnation == "known"
-    assert found.address("known") == "1.2.3.4:5"
-    assert found.address("nobody") == ""
+def test_owner_without_report_is_found_by_lease_record(subject):
+    _, directory = subject
+    assert directory.for_owner("known").incarnation == "known"
+    assert directory.address("known") == "1.2.3.4:5"
+    assert directory.address("nobody") == ""
