--- a/tamarackgap/traffic/__init__.py
+++ b/tamarackgap/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""Requests on their way: in from callers, to a daemon, to its target."""
+"""Routes requests from callers to the targets that run them."""
--- a/tamarackgap/traffic/adapter.py
+++ b/tamarackgap/traffic/adapter.py
@@ -1,7 +1,7 @@
-"""What the router needs of the world around it, as functions.
+"""Defines what an embedder of the router has to provide.
 
-Whoever embeds the router says here how requests, answers, orders and
-announcements are spelled, and where rows are kept.
+That is a store for rows, and functions that encode and decode requests,
+answers, orders and announcements.
 """
 
 from collections.abc import Callable
@@ -19,12 +19,12 @@
 
 
 class DecodedRequest(msgspec.Struct, frozen=True):
-    """A caller's request, decoded.
+    """Holds a decoded request of a caller.
 
     Attributes:
-        host: The host that it names, without port.
-        call: What is to be run.
-        timeout: How long the caller waits, seconds; None if it did not say.
+        host: The host that the request names, without port.
+        call: The request as it is handed to targets.
+        timeout: Seconds that the caller waits; None if it does not say.
     """
 
     host: str
@@ -33,7 +33,13 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """An answer, as it is spelled to a caller or a target."""
+    """Holds an HTTP response.
+
+    Attributes:
+        status: The HTTP status.
+        headers: The header fields.
+        body: The whole body.
+    """
 
     status: int
     headers: door.Headers
@@ -41,57 +47,76 @@
 
 
 class Store(Protocol):
-    """Where rows last, and where the operators' table is found."""
+    """Stores rows durably and provides the operators' route table."""
 
     def watch(
         self,
         rows: Callable[[list[records.Row], int, float], None],
         failed: Callable[[str], None],
     ) -> None:
-        """Reads all rows, then each change, for good.
+        """Starts to read all rows and then each change, without end.
 
         Args:
-            rows: Called after each read, with the rows, the revision up to
-                which they go, and since when that is known.
+            rows: Called after each read with the rows read, the revision up to
+                which all changes are known, and the monotonic time in seconds
+                at which that was so.
             failed: Called with the cause when a read has failed.
         """
 
     def watch_route_table(
         self, changed: Callable[[routetable.RouteTable], None]
     ) -> None:
-        """Reads the operators' table, and each new version, for good."""
+        """Starts to read the route table and each new version, without end.
+
+        Args:
+            changed: Called with each version.
+        """
 
     def skip_pause(self) -> None:
-        """Reads the next changes now, if a pause after the last is on."""
+        """Reads the next changes now if a pause after the last read is on."""
 
     def set_pause(self, pause: float) -> None:
-        """Sets how long changes of the rows are gathered, seconds."""
+        """Sets how long changes of rows are collected before they are read.
+
+        Args:
+            pause: Time from one read to the next, seconds.
+        """
 
     def commit(
         self,
         transaction: records.Transaction,
         done: Callable[[effects.CommitState, list[records.Row]], None],
     ) -> None:
-        """Puts a transaction; its outcome may stay unknown."""
+        """Commits a transaction.
+
+        Args:
+            transaction: The transaction.
+            done: Called with the outcome and with rows: those written if it was
+                committed, the current ones if there was a conflict, none if
+                the outcome is unknown.
+        """
 
     def call_counts(self) -> dict[str, int]:
-        """Returns how many calls were made, by kind and result."""
+        """Returns the number of calls to the store, by kind and result."""
 
 
 class Adapter(msgspec.Struct, frozen=True):
-    """All that the router needs of the world around it.
+    """Holds what the embedder provides to the router.
 
     Attributes:
-        store: Where rows last.
-        decode_call: Returns a request decoded, from the request and the
-            service of this VM, or what is wrong with it.
-        encode_answer: Returns how a completion is told to the caller.
-        codec: How calls are spelled towards targets.
+        store: The store for rows.
+        decode_call: Decodes a caller's request. Takes the request and the
+            service of this VM; returns what is wrong with it if it is
+            malformed.
+        encode_answer: Returns the response to the caller for a completion.
+        codec: Encodes calls for targets and decodes their answers.
         encode_order: Returns the bytes of an order to the target.
-        decode_order_answer: Returns what the answer to an order means.
-        decode_announcement: Returns what a target says of itself; None for
-            what is no announcement.
-        decode_table: Returns the table that another daemon has passed on.
+        decode_order_answer: Returns the outcome of an order from the target's
+            answer.
+        decode_announcement: Decodes a target's announcement; returns None for
+            any other request.
+        decode_table: Decodes a route table that another daemon has passed on;
+            returns None if it is malformed.
     """
 
     store: Store
--- a/tamarackgap/traffic/crashes.py
+++ b/tamarackgap/traffic/crashes.py
@@ -1,8 +1,8 @@
-"""Requests that crash the targets that run them, known by their content.
+"""Detects requests that crash targets and bars them for a while.
 
-Such a request comes again under other ids, at any daemon. It is told from
-requests that only happened to be at a target when it crashed by this: they
-are answered the next time.
+Such a request is repeated under other ids and at any daemon, so it is
+identified by a fingerprint of its content. A request that only happened to run
+when a target crashed is answered the next time, which clears its fingerprint.
 """
 
 import collections
@@ -13,27 +13,35 @@
 from tamarackgap.peers import calls
 from tamarackgap.requests import quarantine
 
-# One crash may have any cause; a content that was there when two targets
-# crashed, one after the other, is not sent again.
-_STRIKES = 2
-# How long it is refused then; it gets one more chance after that, seconds.
+# One crash may have any cause; a request that ran at two crashes, one after the
+# other, is barred.
+_BARRING_CRASHES = 2
+# Time for which a request is barred. After that it may run once more, and one
+# more crash bars it again.
 BAR_TIME_S = 30.0
-# How long a crash is remembered, seconds.
-_KEPT_S = 120.0
-_MOST_CONTENTS = 1000
-# Daemons hear of a crash up to this much later than one another, seconds.
-_SLACK_S = 0.02
+# A crash is forgotten after this time.
+_RETENTION_S = 120.0
+_MAX_FINGERPRINTS = 1000
+# Daemons learn of a crash up to this much later than each other.
+_REPORT_SKEW_S = 0.02
 
 
 class _Entry(msgspec.Struct):
+    """Holds the crashes of one fingerprint.
+
+    Attributes:
+        strikes: Number of crashes.
+        first: Begin of the first run that crashed, monotonic seconds.
+        last: End of the last run that crashed, monotonic seconds.
+    """
+
     strikes: int
-    # Begin of the first and end of the last run that crashed, seconds.
     first: float
     last: float
 
 
 def fingerprint(service: types.ServiceName, call: calls.Call) -> str:
-    """Returns a hash of what a call asks for, whatever its id."""
+    """Returns a hash of what a call asks for, independent of its id."""
     position = str(call.position)
     return quarantine.digest(
         (
@@ -48,10 +56,10 @@
 
 
 class CrashHistory:
-    """Contents that were at targets when these crashed."""
+    """Records which requests targets ran when they crashed."""
 
     def __init__(self) -> None:
-        """Creates an empty memory."""
+        """Creates an empty history."""
         self._entries: collections.OrderedDict[str, _Entry] = (
             collections.OrderedDict()
         )
@@ -59,45 +67,48 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def record(self, content: str, begun: float, ended: float) -> bool:
-        """Takes in that a target crashed while it ran a content.
+    def record(self, fingerprint: str, begun: float, ended: float) -> bool:
+        """Records that a target crashed while it ran a request.
 
-        Targets that crash at the same moment crash for another reason: a
-        run counts only if it does not overlap those that are known. News of
-        crashes come in any order.
+        Targets that crash at the same time do so for another reason, so a run
+        counts only if it does not overlap the recorded ones. Reports of
+        crashes arrive in any order.
 
         Args:
-            content: The content's fingerprint.
-            begun: When the run began, seconds.
-            ended: When the target crashed, seconds.
+            fingerprint: The request's fingerprint.
+            begun: Monotonic time at which the run began, seconds.
+            ended: Monotonic time of the crash, seconds.
 
         Returns:
-            Whether the content is barred from now on.
+            Whether the request is barred from now on.
         """
-        entry = self._entries.get(content)
-        if entry is None or ended - entry.last > _KEPT_S:
+        entry = self._entries.get(fingerprint)
+        if entry is None or ended - entry.last > _RETENTION_S:
             entry = _Entry(1, begun, ended)
-            self._entries[content] = entry
-        elif begun >= entry.last - _SLACK_S or ended <= entry.first + _SLACK_S:
+            self._entries[fingerprint] = entry
+        elif (
+            begun >= entry.last - _REPORT_SKEW_S
+            or ended <= entry.first + _REPORT_SKEW_S
+        ):
             entry.strikes += 1
             entry.first = min(entry.first, begun)
             entry.last = max(entry.last, ended)
-        self._entries.move_to_end(content)
-        while len(self._entries) > _MOST_CONTENTS:
+        self._entries.move_to_end(fingerprint)
+        while len(self._entries) > _MAX_FINGERPRINTS:
             self._entries.popitem(last=False)
-        return entry.strikes >= _STRIKES
+        return entry.strikes >= _BARRING_CRASHES
 
-    def clear(self, content: str) -> bool:
-        """Forgets a content that was answered.
+    def clear(self, fingerprint: str) -> bool:
+        """Removes the fingerprint of a request that was answered.
 
         Returns:
-            Whether it was known.
+            Whether it was recorded.
         """
-        return self._entries.pop(content, None) is not None
+        return self._entries.pop(fingerprint, None) is not None
 
-    def barred_for(self, content: str, now: float) -> float:
-        """Returns for how long a content must not be sent, seconds."""
-        entry = self._entries.get(content)
-        if entry is None or entry.strikes < _STRIKES:
+    def barred_for(self, fingerprint: str, now: float) -> float:
+        """Returns the seconds for which a request must not be sent, or 0."""
+        entry = self._entries.get(fingerprint)
+        if entry is None or entry.strikes < _BARRING_CRASHES:
             return 0.0
         return max(0.0, entry.last + BAR_TIME_S - now)
--- a/tamarackgap/traffic/localtarget.py
+++ b/tamarackgap/traffic/localtarget.py
@@ -1,18 +1,20 @@
-"""What the target beside this daemon says of itself, and what it means."""
+"""Follows the state of the local target from its announcements."""
 
 import enum
 
 import msgspec
 
-# A target that has said nothing for so many intervals, and has answered
-# nothing either, is taken for gone.
-_SILENT_INTERVALS = 3.5
-# An answer that is younger shows that the target lives.
-_ANSWERED_S = 1.0
+# A target is regarded as gone if it has sent no announcement for this many
+# announce intervals and has not answered a call within _RECENT_ANSWER_S either.
+_SILENCE_INTERVALS = 3.5
+_RECENT_ANSWER_S = 1.0
 
 
 class Phase(enum.Enum):
-    """What may be done with the target."""
+    """Whether calls may be sent to the target.
+
+    A leaving target ends its running calls and accepts no new ones.
+    """
 
     ABSENT = "absent"
     SERVING = "serving"
@@ -20,17 +22,17 @@
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """What a target says of itself.
+    """Holds what a target announces of itself.
 
     Attributes:
-        instance: Its id.
-        service: Its service.
-        capacity: Calls that it runs at once.
-        leaving: Whether it wants no new calls.
-        cold_s: How much longer it is slow after its start, seconds.
-        born_ms: When this life of it began; 0 where it doesn't say.
-        sequence: Rises with each announcement of one life.
-        final: Whether it will end, and says nothing more.
+        instance: The target's id.
+        service: The service that it runs.
+        capacity: Number of calls that it runs at once.
+        leaving: Whether it accepts no new calls.
+        cold_s: Seconds for which it is still slow after its start.
+        born_ms: Start time of its process, milliseconds; 0 if not given.
+        sequence: Number that rises with each announcement of one process.
+        final: Whether this is its last announcement before it ends.
     """
 
     instance: str
@@ -44,104 +46,129 @@
 
 
 class Transition(enum.Enum):
-    """What an announcement or silence means for the daemon."""
+    """What an announcement, a refused connection or silence has changed."""
 
     NONE = "none"
-    # Another life of the target: it holds and knows nothing of before.
+    # Another process of the target; it holds no slots.
     NEW_PROCESS = "new-life"
     RETURNED = "back"
     LEAVING = "leaving"
-    # Nobody listens at its address: it has ended.
+    # The target refuses connections, so its process has ended.
     LOST = "lost"
-    # It says and answers nothing; it may live all the same.
+    # The target neither announces itself nor answers, but may still run.
     SILENT = "silent"
 
 
 class LocalTarget:
-    """The target beside this daemon, as far as is known."""
+    """Tracks the phase and the latest announcement of the local target.
+
+    Attributes:
+        phase: Whether calls may be sent to the target.
+    """
 
     def __init__(self, service: str, interval: float, now: float) -> None:
-        """Creates a target that has said nothing.
+        """Creates a target that has not announced itself.
 
         Args:
-            service: Its service; announcements of others are not for us.
-            interval: Usual time between two announcements, seconds.
+            service: The target's service; announcements of others are ignored.
+            interval: Time between two announcements, seconds.
             now: Monotonic time, seconds.
         """
         self._service = service
-        self._silence = interval * _SILENT_INTERVALS
-        self._heard = now
+        self._silence_timeout = interval * _SILENCE_INTERVALS
+        self._last_heard = now
         self._latest = Announcement("")
         self.phase = Phase.ABSENT
 
     @property
     def instance(self) -> str:
-        """Id of the target, or ""."""
+        """Id of the target; "" before its first announcement."""
         return self._latest.instance
 
     @property
     def capacity(self) -> int:
-        """Calls that it runs at once."""
+        """Number of calls that the target runs at once."""
         return self._latest.capacity
 
-    def handle_announcement(self, said: Announcement, now: float) -> Transition:
-        """Takes an announcement in, unless a later one has been heard."""
+    def handle_announcement(
+        self, announcement: Announcement, now: float
+    ) -> Transition:
+        """Applies an announcement.
+
+        An announcement is ignored if it is for another service or without
+        capacity, or if a later one of the same process, or one of a later
+        process, has been received.
+
+        Args:
+            announcement: The announcement.
+            now: Monotonic time, seconds.
+
+        Returns:
+            What it has changed.
+        """
         latest = self._latest
-        if said.final:
-            return self._left(said)
-        if said.service != self._service or said.capacity < 1:
+        if announcement.final:
+            return self._handle_final(announcement)
+        if announcement.service != self._service or announcement.capacity < 1:
             return Transition.NONE
-        same = (said.instance, said.born_ms) == (
+        is_same_process = (announcement.instance, announcement.born_ms) == (
             latest.instance,
             latest.born_ms,
         )
-        if same and said.sequence <= latest.sequence:
+        if is_same_process and announcement.sequence <= latest.sequence:
             return Transition.NONE
-        if not same and said.born_ms < latest.born_ms:
+        if not is_same_process and announcement.born_ms < latest.born_ms:
             return Transition.NONE
-        self._latest = said
-        self._heard = now
-        before = self.phase
-        if said.leaving:
+        self._latest = announcement
+        self._last_heard = now
+        previous = self.phase
+        if announcement.leaving:
             self.phase = Phase.LEAVING
-            return Transition.NEW_PROCESS if not same else self._if_new(before)
-        if same and before is Phase.LEAVING:
+            return (
+                Transition.NEW_PROCESS
+                if not is_same_process
+                else self._leaving_transition(previous)
+            )
+        if is_same_process and previous is Phase.LEAVING:
             return Transition.NONE
         self.phase = Phase.SERVING
-        if not same:
+        if not is_same_process:
             return Transition.NEW_PROCESS
         return (
-            Transition.RETURNED if before is Phase.ABSENT else Transition.NONE
+            Transition.RETURNED if previous is Phase.ABSENT else Transition.NONE
         )
 
     def handle_connection_refused(self) -> Transition:
-        """Notes that the target refuses connections."""
+        """Records that the target refuses connections."""
         if self.phase is Phase.ABSENT:
             return Transition.NONE
         self.phase = Phase.ABSENT
         return Transition.LOST
 
-    def check_silence(self, answered: float, now: float) -> Transition:
-        """Returns SILENT once the target has been silent for too long.
+    def check_silence(self, last_answered_at: float, now: float) -> Transition:
+        """Returns SILENT once if the target has been silent for too long.
 
         Args:
-            answered: When it last answered a call, seconds.
+            last_answered_at: Monotonic time of its last answer, seconds.
             now: Monotonic time, seconds.
         """
-        if self.phase is Phase.ABSENT or now - self._heard <= self._silence:
+        if (
+            self.phase is Phase.ABSENT
+            or now - self._last_heard <= self._silence_timeout
+        ):
             return Transition.NONE
-        if now - answered <= _ANSWERED_S:
+        if now - last_answered_at <= _RECENT_ANSWER_S:
             return Transition.NONE
         self.phase = Phase.ABSENT
         return Transition.SILENT
 
-    def _if_new(self, before: Phase) -> Transition:
+    def _leaving_transition(self, previous: Phase) -> Transition:
         return (
-            Transition.NONE if before is Phase.LEAVING else Transition.LEAVING
+            Transition.NONE if previous is Phase.LEAVING else Transition.LEAVING
         )
 
-    def _left(self, said: Announcement) -> Transition:
-        if said.instance != self._latest.instance:
+    def _handle_final(self, announcement: Announcement) -> Transition:
+        if announcement.instance != self._latest.instance:
             return Transition.NONE
         if self.phase is not Phase.SERVING:
             return Transition.NONE
--- a/tamarackgap/traffic/routetable.py
+++ b/tamarackgap/traffic/routetable.py
@@ -1,4 +1,4 @@
-"""The operators' routes, services and limits, and how a request finds one."""
+"""Holds the operators' route table and finds the route of a request."""
 
 import msgspec
 
@@ -7,25 +7,25 @@
 
 
 class Share(msgspec.Struct, frozen=True):
-    """A service's part of a route's requests."""
+    """Holds the weight of a service among the services of a route."""
 
     service: types.ServiceName
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True):
-    """How requests of one host below one path are handled.
+    """Defines how requests for one host below one path are handled.
 
     Attributes:
         name: The route's name.
-        host: Host of the requests.
-        prefix: Their paths begin with it; it ends with a slash.
-        shares: Services, with the parts of the requests that they get.
+        host: The host that requests name.
+        prefix: The beginning of their paths; it ends with a slash.
+        shares: The services that run the requests, with their weights.
         idempotent: Whether a request may run more than once.
         timeout: Longest time to an answer, seconds.
         latency_objective: Time within which an answer is of full use, seconds.
-        max_attempts: Most targets that one request may be handed to.
-        rank: 0 is served first.
+        max_attempts: Largest number of targets that one request may reach.
+        rank: Priority of the requests; 0 goes first.
     """
 
     name: str
@@ -40,12 +40,12 @@
 
 
 class Service(msgspec.Struct, frozen=True):
-    """What the operators say of a service.
+    """Holds the operators' settings of a service.
 
     Attributes:
-        name: Its name.
-        keyed: Whether each key has one owner among its targets.
-        max_connections: Most connections that a target accepts.
+        name: The service's name.
+        keyed: Whether each key has one owner among the service's targets.
+        max_connections: Largest number of connections that a target accepts.
     """
 
     name: types.ServiceName
@@ -54,14 +54,15 @@
 
 
 class RouteTable(msgspec.Struct, frozen=True):
-    """One version of everything that the operators have set.
+    """Holds one version of the operators' configuration.
 
     Attributes:
-        version: Rises with each change.
+        version: Number that rises with each change.
         routes: All routes.
         services: All services, by name.
-        limits: Bounds on what callers may send.
-        source: The bytes it was read from, to pass on to other daemons.
+        limits: Limits for the requests of callers.
+        source: The bytes that the table was read from, which are passed on to
+            other daemons.
     """
 
     version: int
@@ -82,11 +83,11 @@
             by_prefix[route.prefix] = route
 
     def find(self, host: str, target: str) -> Route | None:
-        """Returns the route of a request, or None.
+        """Returns the route of a request, or None if there is none.
 
         Args:
-            host: The request's host, without port.
-            target: Its path, with or without query.
+            host: The request's host, without port; case is ignored.
+            target: The request's path, with or without query.
         """
         by_prefix = self._hosts.get(host.lower())
         if by_prefix is None:
@@ -102,19 +103,24 @@
 
 
 class WeightedRoundRobin:
-    """Spreads a route's requests over its shares, evenly at every length."""
+    """Distributes the requests of a route among its services by weight.
+
+    The shares are kept after any number of requests, not only in the long run.
+    """
 
     def __init__(self) -> None:
+        # Credit of each service, by route. Each request adds the weights and
+        # takes their sum from the chosen service.
         self._credits: dict[str, dict[str, float]] = {}
 
     def pick(self, route: Route) -> types.ServiceName:
-        """Returns the service that gets the route's next request."""
+        """Returns the service that runs the next request of a route."""
         if len(route.shares) == 1:
             return route.shares[0].service
         credits = self._credits.get(route.name)
-        wanted = {share.service for share in route.shares}
-        if credits is None or credits.keys() != wanted:
-            credits = dict.fromkeys(wanted, 0.0)
+        services = {share.service for share in route.shares}
+        if credits is None or credits.keys() != services:
+            credits = dict.fromkeys(services, 0.0)
             self._credits[route.name] = credits
         total = 0.0
         for share in route.shares:
--- a/tests/traffic/test_routetable.py
+++ b/tests/traffic/test_routetable.py
@@ -19,25 +19,25 @@
 
 
 def test_the_longest_prefix_wins():
-    found = index(route("h", "/"), route("h", "/a/"), route("h", "/a/b/"))
-    assert found.find("h", "/a/b/c?x=/a/").prefix == "/a/b/"
-    assert found.find("h", "/a/bc").prefix == "/a/"
-    assert found.find("H", "/x").prefix == "/"
-    assert found.find("h", "/a/b/").prefix == "/a/b/"
+    routes = index(route("h", "/"), route("h", "/a/"), route("h", "/a/b/"))
+    assert routes.find("h", "/a/b/c?x=/a/").prefix == "/a/b/"
+    assert routes.find("h", "/a/bc").prefix == "/a/"
+    assert routes.find("H", "/x").prefix == "/"
+    assert routes.find("h", "/a/b/").prefix == "/a/b/"
 
 
 def test_other_hosts_and_paths_have_no_route():
-    found = index(route("h", "/a/"))
-    assert found.find("g", "/a/x") is None
-    assert found.find("h", "/a") is None
-    assert found.find("h", "?/a/") is None
+    routes = index(route("h", "/a/"))
+    assert routes.find("g", "/a/x") is None
+    assert routes.find("h", "/a") is None
+    assert routes.find("h", "?/a/") is None
 
 
-def test_shares_are_kept_at_every_length():
-    spread = routetable.WeightedRoundRobin()
-    split = route("h", "/", 70, 20, 10)
+def test_services_get_their_shares_after_any_number_of_requests():
+    round_robin = routetable.WeightedRoundRobin()
+    weighted = route("h", "/", 70, 20, 10)
     counts = collections.Counter()
     for sent in range(1, 201):
-        counts[spread.pick(split)] += 1
+        counts[round_robin.pick(weighted)] += 1
         for name, weight in (("s0", 0.7), ("s1", 0.2), ("s2", 0.1)):
             assert abs(counts[name] - weight * sent) <= 1
