--- a/tamarackgap/traffic/admission.py
+++ b/tamarackgap/traffic/admission.py
@@ -1,13 +1,14 @@
 """Decides which calls the local target runs next and which are refused.
 
-When a target gets more calls than it has slots, its daemon holds the queue.
-The target's own queue stays empty, and a call that is refused has never
+When a target gets more calls than it can run at once, its daemon keeps the
+queue. The target's own queue stays empty, and a call that is refused has never
 reached the target.
 
 Within a rank, calls that can still be answered within their latency objective
 go first: a late answer is worth little and must not delay the next one as
 well. Among kinds of calls of one rank, the kind with the smallest served share
-goes first; otherwise the kind with the shortest objective would get all slots.
+goes first; otherwise the kind with the shortest objective would get all of the
+capacity.
 """
 
 import math
@@ -35,12 +36,12 @@
 _SHARE_STEPS = 10
 # Below this many offered calls a kind has no meaningful served share.
 _MIN_OFFERED_CALLS = 5
-# A caller that retried sooner would come before a slot has become free.
+# A caller that retried sooner would hardly find capacity free.
 _MIN_RETRY_S = 0.05
-# Half-life of the measured slot usage of each rank.
+# Half-life of the measured capacity usage of each rank.
 _USAGE_HALF_LIFE_S = 1.0
-# Share of the slots that each rank is assumed to get at least.
-_MIN_SLOT_SHARE = 0.05
+# Share of the capacity that each rank is assumed to get at least.
+_MIN_RANK_SHARE = 0.05
 # A call that is going to miss its soft deadline stays in the queue only if it
 # is expected to start within this share of the time left to its deadline:
 # calls that arrive later and can meet theirs will go before it.
@@ -68,7 +69,7 @@
 
 
 class QueuedCall(msgspec.Struct, frozen=True, eq=False):
-    """Holds a call that waits for one of the target's slots.
+    """Holds a call that waits until the target can run it.
 
     Attributes:
         rank: Priority of the call; 0 goes first.
@@ -77,7 +78,7 @@
         soft_deadline: Monotonic time after which an answer is no longer of
             full use, seconds.
         deadline: Monotonic time after which an answer is of no use, seconds.
-        start: Called when the call gets a slot.
+        start: Called when the call is to be sent to the target.
         refuse: Called instead of `start` if the call can't start in time.
     """
 
@@ -118,8 +119,8 @@
         )
 
 
-class _SlotUsage:
-    """Measures how many slots the calls of one rank take up."""
+class _CapacityUsage:
+    """Measures how much of the capacity the calls of one rank take up."""
 
     def __init__(self, now: float) -> None:
         self._work_s = 0.0
@@ -130,8 +131,8 @@
         self._work_s = self._decayed_work(now) + duration
         self._updated_at = now
 
-    def slots(self, now: float) -> float:
-        """Returns the recent average number of slots in use."""
+    def running_calls(self, now: float) -> float:
+        """Returns how many calls run on average, by the recent starts."""
         return self._decayed_work(now) * math.log(2) / _USAGE_HALF_LIFE_S
 
     def _decayed_work(self, now: float) -> float:
@@ -147,7 +148,7 @@
         # By kind: a rank and a latency objective.
         self._served: dict[tuple[int, float], _ServedShare] = {}
         # By rank.
-        self._usage: dict[int, _SlotUsage] = {}
+        self._usage: dict[int, _CapacityUsage] = {}
         self._capacity = 0
         # Share of the capacity that is used.
         self._capacity_share = 1.0
@@ -224,7 +225,7 @@
     def finish(
         self, duration: float | None, latency_objective: float, now: float
     ) -> None:
-        """Frees the slot of a call and starts the next one.
+        """Records that a call has ended and starts the next one.
 
         Args:
             duration: Seconds that the target took; None if it did not answer.
@@ -252,7 +253,7 @@
         )
 
     def start_waiting(self, now: float) -> None:
-        """Starts queued calls while there are free slots.
+        """Starts queued calls while capacity is free.
 
         Calls whose turn comes too late for their deadline are refused.
         """
@@ -272,7 +273,7 @@
         available: dict[int, float] = {}
         for call in sorted(self._queue, key=lambda c: self._sort_key(c, now)):
             if call.rank not in available:
-                available[call.rank] = self._available_slots(call.rank, now)
+                available[call.rank] = self._available_capacity(call.rank, now)
             duration = self.expected_duration(call.latency_objective)
             wait = (ahead + duration) / available[call.rank]
             if self._can_start_in_time(call, wait, now):
@@ -310,7 +311,7 @@
             self._served_share(call, now).record_start()
         usage = self._usage.get(call.rank)
         if usage is None:
-            usage = self._usage[call.rank] = _SlotUsage(now)
+            usage = self._usage[call.rank] = _CapacityUsage(now)
         usage.record_start(self.expected_duration(call.latency_objective), now)
         self._running += 1
         call.start()
@@ -349,25 +350,25 @@
             for other in self._queue
             if other is not call and self._sort_key(other, now) < own
         )
-        # Even with no call ahead, a running one has to end first; with n slots
-        # that takes about an n-th of a call's duration.
+        # Even with no call ahead, a running one has to end first; with n
+        # running, that takes about an n-th of a call's duration.
         return (
             ahead + self.expected_duration(call.latency_objective)
-        ) / self._available_slots(call.rank, now)
+        ) / self._available_capacity(call.rank, now)
 
-    def _available_slots(self, rank: int, now: float) -> float:
-        """Returns how many slots the ranks that go before a rank leave to it.
+    def _available_capacity(self, rank: int, now: float) -> float:
+        """Returns how much capacity the ranks before a rank leave to it.
 
         Calls of those ranks keep arriving, so their recent usage is subtracted
         even when none of them is queued.
         """
         used = sum(
-            usage.slots(now)
+            usage.running_calls(now)
             for other, usage in self._usage.items()
             if other < rank
         )
         capacity = max(1, self.capacity)
-        return max(capacity - used, capacity * _MIN_SLOT_SHARE)
+        return max(capacity - used, capacity * _MIN_RANK_SHARE)
 
     def _retry_after(self, call: QueuedCall, now: float) -> float:
         """Returns the seconds until there is likely to be room for a call."""
@@ -376,7 +377,9 @@
             for other in self._queue
             if other is not call and other.rank <= call.rank
         )
-        return max(_MIN_RETRY_S, ahead / self._available_slots(call.rank, now))
+        return max(
+            _MIN_RETRY_S, ahead / self._available_capacity(call.rank, now)
+        )
 
     def _can_finish(self, call: QueuedCall, now: float) -> bool:
         """Returns whether a call that starts now may end by its deadline."""
--- a/tamarackgap/traffic/balancer.py
+++ b/tamarackgap/traffic/balancer.py
@@ -106,13 +106,13 @@
         limit = max(SILENCE_TIMEOUT_S, self.interval * _SILENCE_INTERVALS)
         return now - self.last_heard >= limit
 
-    def estimate(self, now: float, usual: float) -> float:
+    def estimate(self, now: float, default_latency: float) -> float:
         """Returns the expected time to an answer.
 
         Args:
             now: Monotonic time, seconds.
-            usual: Relative latency to assume if the target has answered no
-                call.
+            default_latency: Relative latency to assume if the target has
+                answered no call.
 
         Returns:
             The expected time divided by the latency objective of the call.
@@ -125,7 +125,7 @@
         # calls within the capacity count a little as well.
         durations += 0.2 * load / max(1, self.capacity)
         durations += _FAILURE_COST * self.failure_ratio(now)
-        return (self.relative_latency or usual) * durations
+        return (self.relative_latency or default_latency) * durations
 
 
 def choose(
@@ -153,16 +153,21 @@
     ]
     if not usable:
         return None
-    known = [
+    latencies = [
         candidate.relative_latency
         for candidate in usable
         if candidate.relative_latency
     ]
-    usual = sum(known) / len(known) if known else _INITIAL_RELATIVE_LATENCY
+    default_latency = (
+        sum(latencies) / len(latencies)
+        if latencies
+        else _INITIAL_RELATIVE_LATENCY
+    )
     if len(usable) > _MAX_COMPARED:
-        usable = _draw_two(usable, now, usual, rng, data_centre)
+        usable = _draw_two(usable, now, default_latency, rng, data_centre)
     estimates = [
-        (candidate.estimate(now, usual), candidate) for candidate in usable
+        (candidate.estimate(now, default_latency), candidate)
+        for candidate in usable
     ]
     limit = min(estimate for estimate, _ in estimates) * (1 + _TIE_MARGIN)
     best = [candidate for estimate, candidate in estimates if estimate <= limit]
@@ -175,7 +180,7 @@
 def _draw_two(
     usable: list[Candidate],
     now: float,
-    usual: float,
+    default_latency: float,
     rng: random.Random,
     data_centre: str,
 ) -> list[Candidate]:
@@ -185,7 +190,7 @@
     """
     weights = [
         candidate.capacity
-        / (candidate.relative_latency or usual)
+        / (candidate.relative_latency or default_latency)
         / (1.0 + _FAILURE_COST * candidate.failure_ratio(now))
         for candidate in usable
     ]
--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -29,7 +29,7 @@
 _NO_OWNER_RETRY_S = 0.3
 _DEFAULT_RETRY_S = 0.1
 # A request that may have run is sent again only if this share of its latency
-# objective is left until its deadline.
+# objective is left until its deadline; with less time an answer is unlikely.
 _MIN_OBJECTIVE_SHARE = 0.25
 _SERVER_ERROR_STATUS = 500
 
@@ -110,7 +110,7 @@
             local_runner: Runs calls at this daemon's own target.
             peer_transport: Sends messages to the other daemons.
             timers: The loop's scheduler.
-            budgets: Limit how many legs are sent again.
+            budgets: Limits how many legs are sent again.
             rng: Breaks ties between targets.
             crash_history: Fingerprints of requests that targets ran when they
                 crashed.
--- a/tamarackgap/traffic/slotgrants.py
+++ b/tamarackgap/traffic/slotgrants.py
@@ -385,7 +385,7 @@
             slot: slots.SlotAssignment(owned.fence, handover=owned.handover)
             for slot, owned in self._core.owned.items()
         }
-        before = self._by_slot
+        previous_by_slot = self._by_slot
         for state in self._by_range.values():
             if state.asking:
                 # The pending answer is not counted for the new ranges, so the
@@ -394,23 +394,31 @@
         self._by_range = {}
         self._by_slot = {}
         for slot_range in slots.compress(assignments):
-            known = [
-                before.get(s)
-                for s in range(slot_range.first, slot_range.last + 1)
+            previous_states = [
+                previous_by_slot.get(slot)
+                for slot in range(slot_range.first, slot_range.last + 1)
             ]
             state = _RangeState(
                 slot_range, unanswered=self._unanswered_count(slot_range)
             )
             if all(
-                k is not None and k.run.fence == slot_range.fence for k in known
+                previous is not None and previous.run.fence == slot_range.fence
+                for previous in previous_states
             ):
-                state.held_until = min(k.held_until for k in known)
-                state.asked_until = min(k.asked_until for k in known)
-                state.ends = max(k.ends for k in known)
-                state.superseded = any(k.superseded for k in known)
+                state.held_until = min(
+                    previous.held_until for previous in previous_states
+                )
+                state.asked_until = min(
+                    previous.asked_until for previous in previous_states
+                )
+                state.ends = max(previous.ends for previous in previous_states)
+                state.superseded = any(
+                    previous.superseded for previous in previous_states
+                )
                 state.confirmed = all(
-                    k.confirmed and k.unanswered == state.unanswered
-                    for k in known
+                    previous.confirmed
+                    and previous.unanswered == state.unanswered
+                    for previous in previous_states
                 )
             self._by_range[slot_range] = state
             for slot in range(slot_range.first, slot_range.last + 1):
--- a/tests/traffic/test_admission.py
+++ b/tests/traffic/test_admission.py
@@ -47,7 +47,7 @@
             self.queue.refuse_late(self.now)
 
 
-def test_call_starts_at_once_in_free_slot():
+def test_call_starts_at_once_if_capacity_is_free():
     target = Target(2)
     target.offer("a")
     target.offer("b")
--- a/tests/traffic/test_slotrelease.py
+++ b/tests/traffic/test_slotrelease.py
@@ -31,8 +31,8 @@
     releaser.begin(MOVING)
     ((moving, answer),) = grants.releases
     assert moving == MOVING
-    answer({"run": "told"})
-    assert done == [{"run": "told"}]
+    answer({"range": "token"})
+    assert done == [{"range": "token"}]
     releaser.end()
     assert grants.ended == 1
 
