--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -187,6 +187,8 @@
         Returns:
             The fingerprint, begin and end of each run, in monotonic seconds.
         """
+        # A connection that broke before the target's last answer was not broken
+        # by a crash.
         since = max(
             self._timers.now - _CRASH_DETECTION_S,
             self.last_answered_at - _LATE_ANSWER_S,
