--- a/tamarackgap/processes/__init__.py
+++ b/tamarackgap/processes/__init__.py
@@ -1,1 +1,1 @@
-"""The processes: their parts put together, started and ended."""
+"""The two kinds of daemon processes: their components, start and shutdown."""
--- a/tamarackgap/processes/peersync.py
+++ b/tamarackgap/processes/peersync.py
@@ -1,4 +1,4 @@
-"""What a router tells the others of its target, and hears of theirs."""
+"""Exchanges target status, crash reports and route tables between routers."""
 
 from collections.abc import Callable
 
@@ -8,150 +8,170 @@
 from tamarackgap.peers import calls, messages, transport
 from tamarackgap.traffic import crashes, dispatcher, routetable, runner
 
-# Each daemon tells all others of its target so often. With more daemons it is
-# seldom, so that one spends at most a hundred messages a second on it: entries
-# learn of load from answers as well (`make bench`, loads: 75 entries serve as
-# many in their aim when they are told each second as each half).
-_STATUS_S = 0.25
-_STATUS_EACH_S = 0.01
-_STATUS_MOST_S = 1.0
-# Daemons tell each other at once of what they have written; what got lost is
-# read from the table after a pause. Each change wakes all who wait for one: the
-# pause grows with the daemons, so that their reads together do not. It stays
-# short beside the time for which an owner may go without reading, seconds.
-_READ_PAUSE_S = 1.0
-_READ_PAUSE_EACH_S = 0.05
-_READ_PAUSE_MOST_S = 4.0
-# Another daemon is asked for its newer table at most this often.
-_ASK_TABLE_S = 0.2
+# The time between two status messages to all other daemons grows with their
+# number, so that a daemon sends at most a hundred of them a second. Daemons
+# learn the load of targets from completions as well: with 75 daemons, an
+# interval of 1 s met the latency objective as often as one of 0.5 s
+# (`make bench`, loads).
+_MIN_STATUS_INTERVAL_S = 0.25
+_STATUS_INTERVAL_PER_DAEMON_S = 0.01
+_MAX_STATUS_INTERVAL_S = 1.0
+# Daemons send their writes to each other at once; only lost messages have to be
+# read from the table, after this pause. Each change of the table ends the long
+# polls of all daemons, so the pause grows with their number to bound the reads
+# of all of them. It stays short compared to the time for which an owner may go
+# without reading the table.
+_MIN_READ_PAUSE_S = 1.0
+_READ_PAUSE_PER_DAEMON_S = 0.05
+_MAX_READ_PAUSE_S = 4.0
+# Least time between two requests for a newer route table.
+_ROUTE_TABLE_REQUEST_INTERVAL_S = 0.2
 
 
 def status_interval(daemons: int) -> float:
-    """Returns how often a daemon tells all others of its target, seconds."""
-    return min(max(_STATUS_S, daemons * _STATUS_EACH_S), _STATUS_MOST_S)
+    """Returns the time between two status messages to all, seconds."""
+    return min(
+        max(_MIN_STATUS_INTERVAL_S, daemons * _STATUS_INTERVAL_PER_DAEMON_S),
+        _MAX_STATUS_INTERVAL_S,
+    )
 
 
 def read_pause(daemons: int) -> float:
-    """Returns how long changes of the table are gathered, seconds."""
+    """Returns the pause between reads of a changing table, seconds."""
     return min(
-        max(_READ_PAUSE_S, daemons * _READ_PAUSE_EACH_S), _READ_PAUSE_MOST_S
+        max(_MIN_READ_PAUSE_S, daemons * _READ_PAUSE_PER_DAEMON_S),
+        _MAX_READ_PAUSE_S,
     )
 
 
 class PeerSync:
-    """The other daemons, as far as targets and route tables go."""
+    """Sends the other daemons the state of the target and route table here.
+
+    It also applies what they send about theirs.
+    """
 
     def __init__(
         self,
         core: ownership.Ownership,
-        links: transport.PeerTransport,
-        run: runner.Runner,
-        entry: dispatcher.Dispatcher,
-        crashed: crashes.CrashHistory,
+        peer_transport: transport.PeerTransport,
+        call_runner: runner.Runner,
+        request_dispatcher: dispatcher.Dispatcher,
+        crash_history: crashes.CrashHistory,
         timers: scheduler.Scheduler,
-        table: Callable[[], routetable.RouteTable | None],
+        route_table: Callable[[], routetable.RouteTable | None],
     ) -> None:
-        """Creates one whose peers have been told nothing.
+        """Creates a sync that has sent nothing, and schedules its broadcasts.
 
         Args:
-            core: Knows the daemons.
-            links: Links to them.
-            run: Calls for the target here.
-            entry: Is told of all targets, the one here included.
-            crashed: Contents that were at targets when these crashed.
+            core: Knows the other daemons.
+            peer_transport: Sends messages to them.
+            call_runner: Runs calls at the local target.
+            request_dispatcher: Gets the status of all targets, including the
+                local one.
+            crash_history: Records which requests ran at targets that crashed.
             timers: The loop's scheduler.
-            table: Returns the route table in force here.
+            route_table: Returns the route table in force here.
         """
         self._core = core
-        self._links = links
-        self._runner = run
-        self._entry = entry
-        self._crashes = crashed
+        self._transport = peer_transport
+        self._runner = call_runner
+        self._dispatcher = request_dispatcher
+        self._crash_history = crash_history
         self._timers = timers
-        self._table = table
-        self._asked_table = float("-inf")
-        # The first incarnation names the process: each id is used only once.
+        self._route_table = route_table
+        self._route_table_requested_at = float("-inf")
+        # The incarnation at the start identifies the process, since each id is
+        # used only once.
         self._process = core.incarnation
-        self._interval = _STATUS_S
-        # Daemons that were told of the target here, and up to which version
-        # of the rows they were looked for.
-        self._told: set[types.Incarnation] = set()
-        self._told_at = -1
-        timers.after(_STATUS_S, self._tell_regularly)
+        self._status_interval = _MIN_STATUS_INTERVAL_S
+        # Daemons that were sent a status, and the version of the table's rows
+        # in which new daemons were last looked for.
+        self._informed: set[types.Incarnation] = set()
+        self._informed_version = -1
+        timers.after(_MIN_STATUS_INTERVAL_S, self._broadcast_periodically)
 
     def receive(self, envelope: messages.Envelope) -> bool:
-        """Takes a message in; returns whether it was for this part."""
+        """Handles a message about targets or route tables.
+
+        Returns:
+            Whether it was one.
+        """
         match envelope.message:
             case calls.TargetStatus() as status:
-                self._entry.update_status(
+                self._dispatcher.update_status(
                     envelope.sender, envelope.address, status
                 )
-                self._heard_version(status.version, envelope.address)
-            case calls.TargetCrash() as news:
-                self._note_crash(news)
-            case calls.ContentCleared(fingerprint=content):
-                self._crashes.clear(content)
+                self._request_newer_table(status.version, envelope.address)
+            case calls.TargetCrash() as crash:
+                self._record_crash(crash)
+            case calls.ContentCleared(fingerprint=fingerprint):
+                self._crash_history.clear(fingerprint)
             case calls.RouteTableRequest():
-                table = self._table()
+                table = self._route_table()
                 if table is not None:
-                    news = calls.RouteTableUpdate(table.source)
-                    self._send(envelope.address, news)
+                    update = calls.RouteTableUpdate(table.source)
+                    self._send(envelope.address, update)
             case _:
                 return False
         return True
 
     def broadcast_status(self) -> None:
-        """Tells all of the target here."""
+        """Sends the local target's status to all daemons."""
         status = self._status()
         own = self._core.incarnation
-        self._entry.update_status(own, self._core.settings.peer_address, status)
-        self._told = {
+        self._dispatcher.update_status(
+            own, self._core.settings.peer_address, status
+        )
+        self._informed = {
             record.incarnation for record in self._core.view.members()
         }
-        self._tell(status)
+        self._broadcast(status)
 
     def update_new_daemons(self) -> None:
-        """Tells daemons that have just joined what target is here.
+        """Sends the local target's status to daemons that have just joined.
 
         They have callers already, and know of no target but their own.
         """
-        if self._core.view.version == self._told_at:
+        if self._core.view.version == self._informed_version:
             return
-        self._told_at = self._core.view.version
+        self._informed_version = self._core.view.version
         status = self._status()
         own = self._core.settings.peer_address
         for record in self._core.view.members():
-            if record.incarnation in self._told:
+            if record.incarnation in self._informed:
                 continue
-            self._told.add(record.incarnation)
+            self._informed.add(record.incarnation)
             if record.peer_address != own:
                 self._send(record.peer_address, status)
 
     def broadcast_crash(self) -> None:
-        """Tells all what the target here ran when it crashed."""
-        ended = self._runner.pop_crashed_runs()
-        if not ended:
+        """Sends all daemons what the local target ran when it crashed."""
+        crashed_runs = self._runner.pop_crashed_runs()
+        if not crashed_runs:
             return
         now = self._timers.now
-        news = calls.TargetCrash(
-            {content: (now - begun, now - end) for content, begun, end in ended}
+        crash = calls.TargetCrash(
+            {
+                fingerprint: (now - begun, now - end)
+                for fingerprint, begun, end in crashed_runs
+            }
         )
-        logs.event("target_crashed", contents=len(news.fingerprints))
-        self._note_crash(news)
-        self._tell(news)
+        logs.event("target_crashed", contents=len(crash.fingerprints))
+        self._record_crash(crash)
+        self._broadcast(crash)
 
-    def broadcast_cleared(self, content: str) -> None:
-        """Tells all that a content was answered after a crash."""
-        self._tell(calls.ContentCleared(content))
+    def broadcast_cleared(self, fingerprint: str) -> None:
+        """Tells all daemons that a request from a crash has been answered."""
+        self._broadcast(calls.ContentCleared(fingerprint))
 
-    def _tell_regularly(self) -> None:
-        self._interval = status_interval(len(self._told))
+    def _broadcast_periodically(self) -> None:
+        self._status_interval = status_interval(len(self._informed))
         self.broadcast_status()
-        self._timers.after(self._interval, self._tell_regularly)
+        self._timers.after(self._status_interval, self._broadcast_periodically)
 
     def _status(self) -> calls.TargetStatus:
         queue = self._runner.queue
-        table = self._table()
+        table = self._route_table()
         return calls.TargetStatus(
             types.ServiceName(self._core.settings.service),
             self._runner.accepting,
@@ -162,34 +182,42 @@
             table.version if table is not None else 0,
             types.DataCentre(self._core.settings.data_centre),
             self._process,
-            self._interval,
+            self._status_interval,
         )
 
-    def _note_crash(self, news: calls.TargetCrash) -> None:
+    def _record_crash(self, crash: calls.TargetCrash) -> None:
         now = self._timers.now
-        for content, (begun, ended) in news.fingerprints.items():
-            if self._crashes.record(content, now - begun, now - ended):
+        for fingerprint, (begun, ended) in crash.fingerprints.items():
+            if self._crash_history.record(
+                fingerprint, now - begun, now - ended
+            ):
                 logs.event(
-                    "content_barred", content=content, s=crashes.BAR_TIME_S
+                    "content_barred", content=fingerprint, s=crashes.BAR_TIME_S
                 )
 
-    def _heard_version(self, version: int, address: str) -> None:
-        """Asks for a newer table, in case the store is out of reach here."""
-        table = self._table()
-        known = table.version if table is not None else 0
+    def _request_newer_table(self, version: int, address: str) -> None:
+        """Requests a newer route table: the store may be unreachable here."""
+        table = self._route_table()
+        current = table.version if table is not None else 0
         now = self._timers.now
-        if version > known and now - self._asked_table > _ASK_TABLE_S:
-            self._asked_table = now
+        if (
+            version > current
+            and now - self._route_table_requested_at
+            > _ROUTE_TABLE_REQUEST_INTERVAL_S
+        ):
+            self._route_table_requested_at = now
             self._send(address, calls.RouteTableRequest())
 
-    def _tell(self, message: messages.Message) -> None:
+    def _broadcast(self, message: messages.Message) -> None:
         own = self._core.settings.peer_address
         addresses = {
             record.peer_address for record in self._core.view.members()
         }
-        # Those that have left their lease still have callers.
-        addresses |= self._entry.addresses()
-        self._links.send_all(self._core.incarnation, addresses - {own}, message)
+        # Daemons that have left their lease still have callers.
+        addresses |= self._dispatcher.addresses()
+        self._transport.send_all(
+            self._core.incarnation, addresses - {own}, message
+        )
 
     def _send(self, address: str, message: messages.Message) -> None:
-        self._links.send(self._core.incarnation, address, message)
+        self._transport.send(self._core.incarnation, address, message)
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -1,4 +1,7 @@
-"""One router daemon: the parts, put together on one loop and one thread."""
+"""The router daemon, for a platform with its own HTTP conventions.
+
+Its components run on one event loop and one thread.
+"""
 
 import faulthandler
 import functools
@@ -31,51 +34,55 @@
     slotrelease,
 )
 
-_TICK_S = 0.05
-_SWEEP_S = 0.02
-_LOAD_S = 0.5
-# Hot ranges of keys change within seconds.
+_TICK_INTERVAL_S = 0.05
+_REFUSE_LATE_INTERVAL_S = 0.02
+_LOAD_REPORT_INTERVAL_S = 0.5
+# The busiest keys change within seconds.
 _LOAD_HALF_LIFE_S = 2.0
-_LOAD_UNSETTLED_S = 1.0
-_TOLERANCE_PERCENT = 15
-# Below this part of its capacity a target gives no keys away: moving them
-# would cost their callers more than they gain.
-_CALM_UTILISATION = 0.6
-# A process that leaves is still asked until the second question in a row has
-# failed; it serves all who come until then.
-_LINGER_S = 2.6
-# A process that leaves beside a target that stays takes calls for it until so
-# long before it closes its door: daemons hear of that within a status's
-# interval, and calls under way end meanwhile, seconds.
-_STOP_BEFORE_S = 0.8
-# Keys that can't be moved in this time after a target or process began to
-# leave go to the successors without a handover.
-_GIVE_UP_S = 0.8
-# Left of the grace time when the process ends whatever is still going on.
-_LAST_S = 0.4
-# A process that has stopped and not ended after this time ends by force, with
-# a trace of where it hung, seconds.
-_END_S = 2.0
-_TARGET_IDLE_S = 7.0
-_TARGET_SILENCE_MS = 3000
-_ENVELOPE_BYTES = 65_536
-_OK = 200
-_NO_ROUTE = 404
-_BAD = 400
-_UNAVAILABLE = 503
-_RETRY_S = b"0.2"
+_LOAD_WARMUP_S = 1.0
+_MIN_TOLERANCE_PERCENT = 15
+# A target that uses less than this share of its capacity gives no slots away:
+# moving them would cost their callers more than it gains.
+_LOW_LOAD_UTILISATION = 0.6
+# Callers keep arriving until the readiness check has failed twice in a row. A
+# draining process accepts their requests for this time.
+_DRAIN_LISTEN_S = 2.6
+# A draining process stops accepting calls for its target this long before it
+# closes its caller address. Within this time the other daemons learn of it
+# (after one status interval at most) and calls in progress end.
+_STOP_CALLS_BEFORE_CLOSE_S = 0.8
+# Slots that have not moved through the table this long after the target or
+# the process began to leave go to their successors without a handover.
+_MOVE_TIMEOUT_S = 0.8
+# The process exits this long before its grace time ends, whatever is still in
+# progress.
+_EXIT_RESERVE_S = 0.4
+# A process that still runs this long after it stopped its loop is ended by
+# force, with a traceback that shows where it hung.
+_EXIT_TIMEOUT_S = 2.0
+_TARGET_IDLE_TIMEOUT_S = 7.0
+_TARGET_ACK_TIMEOUT_MS = 3000
+_ENVELOPE_OVERHEAD_BYTES = 65_536
+_STATUS_OK = 200
+_STATUS_NOT_FOUND = 404
+_STATUS_BAD_REQUEST = 400
+_STATUS_UNAVAILABLE = 503
+_RETRY_AFTER_S = b"0.2"
 
 
 def now() -> float:
-    """Returns seconds on a clock that also counts suspended time.
+    """Returns the time on a clock that runs on during suspension, seconds.
 
-    A lease must not outlive a suspension of the VM.
+    A lease must not outlast a suspension of the VM.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class Router(circuits.Component):
-    """A process of the system, beside one target."""
+    """Holds the components of a router daemon and passes events between them.
+
+    It routes callers' requests to daemons, and runs calls at the local target.
+    """
 
     channel = "router"
 
@@ -84,11 +91,12 @@
         settings: config.Config,
         read_settings: Callable[[], result.Result[config.Config, str]],
     ) -> None:
-        """Creates the parts that need nothing of the world.
+        """Creates the poller and the timers; `begin` creates the rest.
 
         Args:
-            settings: All settings.
-            read_settings: Reads them again.
+            settings: The daemon's settings.
+            read_settings: Reads the settings file again; fails with what is
+                wrong with it.
         """
         super().__init__()
         self._settings = settings
@@ -98,20 +106,22 @@
         self.poller = sockets.Poller().register(self)
         self.timers = scheduler.Scheduler(now).register(self)
         self.poller.turn = self.timers.turn
-        self._table: routetable.RouteTable | None = None
-        self._table_since = now()
-        self._index: routetable.RouteIndex | None = None
-        self._leave_at: float | None = None
-        self._end_at = 0.0
-        # When keys that were to move are given up instead, seconds.
-        self._give_up_at = 0.0
+        self._route_table: routetable.RouteTable | None = None
+        self._route_table_since = now()
+        self._route_index: routetable.RouteIndex | None = None
+        # When the caller address closes, seconds; None unless draining.
+        self._listen_until: float | None = None
+        self._exit_deadline = 0.0
+        # When the slots still owned are released without the table, seconds.
+        self._release_at = 0.0
         self._stopped = False
 
     def begin(self, platform_adapter: adapter.Adapter) -> None:
-        """Binds all addresses, and starts.
+        """Binds all addresses and starts the periodic work.
 
         Args:
-            platform_adapter: How the world around the router is met.
+            platform_adapter: Decodes and encodes the platform's requests, and
+                reads and writes its store.
 
         Raises:
             OSError: If an address can't be bound.
@@ -119,89 +129,96 @@
         settings = self._settings
         self._adapter = platform_adapter
         self._core = ownership.Ownership(
-            _ownership_settings(settings), self._rng, self._must_stay, now()
+            _ownership_settings(settings), self._rng, self._is_pinned, now()
         )
         self._core.keyed = False
-        self._link = httplink.Link(
+        self._call_link = httplink.Link(
             self.poller,
             self.timers,
             settings.router_target_address,
-            _TARGET_IDLE_S,
-            _TARGET_SILENCE_MS,
+            _TARGET_IDLE_TIMEOUT_S,
+            _TARGET_ACK_TIMEOUT_MS,
         )
-        # Orders wait for nobody, and need few of the target's connections.
-        self._orders = httplink.Link(
+        # Orders have a link of their own, so that they don't wait for calls.
+        # They need few of the target's connections.
+        self._order_link = httplink.Link(
             self.poller,
             self.timers,
             settings.router_target_address,
-            _TARGET_IDLE_S,
-            _TARGET_SILENCE_MS,
+            _TARGET_IDLE_TIMEOUT_S,
+            _TARGET_ACK_TIMEOUT_MS,
         )
         lease = settings.ownership_lease / 1000
-        self._holds = slotgrants.SlotGrants(
+        self._slot_grants = slotgrants.SlotGrants(
             self._core,
-            self._order,
+            self._send_order,
             self.timers,
             lease,
             settings.router_longest_hold / 1000,
         )
-        self._peers = transport.PeerTransport(
+        self._transport = transport.PeerTransport(
             self.poller,
             self.timers,
             settings.daemon_deployment,
             settings.daemon_peer_address,
-            settings.requests_body + settings.requests_answer + _ENVELOPE_BYTES,
+            settings.requests_body
+            + settings.requests_answer
+            + _ENVELOPE_OVERHEAD_BYTES,
             self._receive,
         )
-        self._crashes = crashes.CrashHistory()
+        self._crash_history = crashes.CrashHistory()
         self._runner = runner.Runner(
             self._service,
             self._core,
-            self._holds,
-            self._link,
+            self._slot_grants,
+            self._call_link,
             platform_adapter.codec,
             self.timers,
-            self._target_refused,
-            self._crashes,
+            self._handle_connection_refused,
+            self._crash_history,
         )
-        self._hand_offs = slotrelease.SlotReleaser(
-            self._holds, self._core.slots_released
+        self._slot_releaser = slotrelease.SlotReleaser(
+            self._slot_grants, self._core.slots_released
         )
-        self._budgets = retries.ServiceRetryBudgets(
+        self._retry_budgets = retries.ServiceRetryBudgets(
             settings.router_reruns / 100, settings.router_extra_reruns
         )
-        self._entry = dispatcher.Dispatcher(
+        self._request_dispatcher = dispatcher.Dispatcher(
             self._core,
             self._runner,
-            self._peers,
+            self._transport,
             self.timers,
-            self._budgets,
+            self._retry_budgets,
             self._rng,
-            self._crashes,
+            self._crash_history,
             settings.daemon_data_centre,
         )
-        self._core.is_reachable = self._entry.is_heard
+        self._core.is_reachable = self._request_dispatcher.is_heard
         self._peer_sync = peersync.PeerSync(
             self._core,
-            self._peers,
+            self._transport,
             self._runner,
-            self._entry,
-            self._crashes,
+            self._request_dispatcher,
+            self._crash_history,
             self.timers,
-            lambda: self._table,
+            lambda: self._route_table,
         )
         self._runner.on_content_cleared = self._peer_sync.broadcast_cleared
-        self._beside = localtarget.LocalTarget(
+        self._local_target = localtarget.LocalTarget(
             self._service, settings.router_announce_interval / 1000, now()
         )
         self._metrics = metrics.Metrics(settings.daemon_name, self._service)
-        self._entry.observe = self._observe_request
+        self._request_dispatcher.observe = self._observe_request
         self._runner.observe = self._observe_call
         if settings.router_metrics_address:
-            self._open(settings.router_metrics_address, self._pages())
-        self._door = self._open(settings.daemon_http_address, self._serve)
-        self._open(settings.router_announce_address, self._announced)
-        self._open(settings.router_ready_address, self._asked_ready)
+            self._listen(settings.router_metrics_address, self._build_pages())
+        self._caller_server = self._listen(
+            settings.daemon_http_address, self._handle_request
+        )
+        self._listen(
+            settings.router_announce_address, self._handle_announcement
+        )
+        self._listen(settings.router_ready_address, self._handle_readiness)
         logs.event(
             "started",
             incarnation=self._core.incarnation,
@@ -211,165 +228,188 @@
             peers=settings.daemon_peer_address,
         )
         signal.signal(signal.SIGHUP, self._signal_handler)
-        platform_adapter.store.watch(self._rows_read, self._read_failed)
-        platform_adapter.store.watch_route_table(self._table_changed)
-        self.timers.every(_TICK_S, self._tick)
-        self.timers.every(_SWEEP_S, self._runner.refuse_late)
-        self.timers.every(_LOAD_S, self._tell_load)
+        platform_adapter.store.watch(
+            self._apply_rows, self._handle_read_failure
+        )
+        platform_adapter.store.watch_route_table(self._apply_route_table)
+        self.timers.every(_TICK_INTERVAL_S, self._tick)
+        self.timers.every(_REFUSE_LATE_INTERVAL_S, self._runner.refuse_late)
+        self.timers.every(_LOAD_REPORT_INTERVAL_S, self._report_load)
 
-    def _open(self, address: str, serve: door.Serve) -> door.Door:
-        return door.Door(self.poller, self.timers, address, serve)
+    def _listen(self, address: str, handler: door.Serve) -> door.Door:
+        return door.Door(self.poller, self.timers, address, handler)
 
     # Callers.
 
-    def _serve(self, incoming: door.Incoming) -> None:
+    def _handle_request(self, incoming: door.Incoming) -> None:
         match self._adapter.decode_call(incoming, self._service):
             case result.Failure(problem):
                 logs.request_event("request_malformed", True, problem=problem)
-                incoming.answer(_BAD, [], b"")
+                incoming.answer(_STATUS_BAD_REQUEST, [], b"")
                 return
-            case result.Success(adapter.DecodedRequest() as asked):
+            case result.Success(adapter.DecodedRequest() as request):
                 pass
             case other:
                 raise AssertionError(other)
-        if self._index is None:
-            incoming.answer(_UNAVAILABLE, [(b"retry-after", _RETRY_S)], b"")
+        if self._route_index is None:
+            incoming.answer(
+                _STATUS_UNAVAILABLE, [(b"retry-after", _RETRY_AFTER_S)], b""
+            )
             return
-        route = self._index.find(asked.host, asked.call.request_target)
+        route = self._route_index.find(
+            request.host, request.call.request_target
+        )
         if route is None:
             logs.request_event(
                 "request_without_route",
                 True,
-                request=asked.call.request_id,
-                host=asked.host,
-                version=self._table.version,
+                request=request.call.request_id,
+                host=request.host,
+                version=self._route_table.version,
             )
-            incoming.answer(_NO_ROUTE, [], b"")
+            incoming.answer(_STATUS_NOT_FOUND, [], b"")
             return
-        timeout = route.timeout if asked.timeout is None else asked.timeout
-        flight = self._entry.submit(
-            asked.call,
+        timeout = route.timeout if request.timeout is None else request.timeout
+        pending = self._request_dispatcher.submit(
+            request.call,
             route,
             incoming.begun,
             timeout,
-            functools.partial(self._answer, incoming),
+            functools.partial(self._respond, incoming),
         )
-        if flight.done is not None:
-            incoming.gone = functools.partial(self._entry.cancel, flight)
+        if pending.done is not None:
+            incoming.gone = functools.partial(
+                self._request_dispatcher.cancel, pending
+            )
 
-    def _answer(
+    def _respond(
         self, incoming: door.Incoming, completion: calls.Completion
     ) -> None:
-        said = self._adapter.encode_answer(completion)
-        incoming.answer(said.status, said.headers, said.body)
+        response = self._adapter.encode_answer(completion)
+        incoming.answer(response.status, response.headers, response.body)
 
     # The target.
 
-    def _announced(self, incoming: door.Incoming) -> None:
-        said = self._adapter.decode_announcement(incoming)
-        if said is None:
-            incoming.answer(_BAD, [], b"")
+    def _handle_announcement(self, incoming: door.Incoming) -> None:
+        announcement = self._adapter.decode_announcement(incoming)
+        if announcement is None:
+            incoming.answer(_STATUS_BAD_REQUEST, [], b"")
             return
-        incoming.answer(_OK, [], b"")
-        self._target_changed(self._beside.handle_announcement(said, now()))
-        if self._beside.phase is localtarget.Phase.SERVING:
-            self._holds.resume()
-        if self._takes_calls:
-            self._runner.attach(self._beside.instance, self._beside.capacity)
-
-    def _target_refused(self) -> None:
-        self._target_changed(self._beside.handle_connection_refused())
-
-    def _target_changed(self, change: localtarget.Transition) -> None:
-        if change is localtarget.Transition.NONE:
+        incoming.answer(_STATUS_OK, [], b"")
+        self._apply_transition(
+            self._local_target.handle_announcement(announcement, now())
+        )
+        if self._local_target.phase is localtarget.Phase.SERVING:
+            self._slot_grants.resume()
+        if self._accepts_calls:
+            self._runner.attach(
+                self._local_target.instance, self._local_target.capacity
+            )
+
+    def _handle_connection_refused(self) -> None:
+        self._apply_transition(self._local_target.handle_connection_refused())
+
+    def _apply_transition(self, transition: localtarget.Transition) -> None:
+        if transition is localtarget.Transition.NONE:
             return
         logs.event(
             "target_changed",
-            change=change.value,
-            instance=self._beside.instance,
-            phase=self._beside.phase.value,
+            change=transition.value,
+            instance=self._local_target.instance,
+            phase=self._local_target.phase.value,
         )
-        if change in (
+        if transition in (
             localtarget.Transition.NEW_PROCESS,
             localtarget.Transition.LOST,
         ):
             self._peer_sync.broadcast_crash()
-        match change:
+        match transition:
             case localtarget.Transition.NEW_PROCESS:
-                self._replace_target()
-                if self._beside.phase is localtarget.Phase.LEAVING:
+                self._handle_target_restart()
+                if self._local_target.phase is localtarget.Phase.LEAVING:
                     self._runner.drain()
             case localtarget.Transition.LEAVING:
                 self._runner.drain()
             case localtarget.Transition.LOST:
                 self._runner.detach()
-                self._abandon_keys("target-gone")
+                self._release_lease("target-gone")
             case localtarget.Transition.SILENT:
                 self._runner.detach()
-                # It may live, and hold keys until its holds have ended.
-                self.timers.after(self._holds.pause(), self._abandon_if_silent)
+                # It may still run, and serve its slots until its holds end.
+                self.timers.after(
+                    self._slot_grants.pause(), self._release_lease_if_absent
+                )
         self._peer_sync.broadcast_status()
 
-    def _give_keys_up(self, moment: float) -> None:
-        """Lets successors serve, where the table does not take the moves.
+    def _release_without_table(self, current_time: float) -> None:
+        """Releases the lease where slots don't move through the table.
 
-        The witnesses alone are enough for that.
+        Their successors need only the witnesses to take over then.
         """
-        if moment < self._give_up_at or self._holds.has_pending_releases:
+        if (
+            current_time < self._release_at
+            or self._slot_grants.has_pending_releases
+        ):
             return
         if self._core.owned:
-            self._give_up_at = moment + _GIVE_UP_S
+            self._release_at = current_time + _MOVE_TIMEOUT_S
             logs.event("keys_given_up", slots=len(self._core.owned))
-            self._holds.release_all(
-                functools.partial(self._abandon_keys, "leaving")
+            self._slot_grants.release_all(
+                functools.partial(self._release_lease, "leaving")
             )
 
-    def _replace_target(self) -> None:
-        """Lets successors serve: what the earlier target held is over.
+    def _handle_target_restart(self) -> None:
+        """Releases the lease, since the target process that held slots is gone.
 
-        Grants without an answer may have reached the new one, which then holds
-        these keys until they end.
+        Grants that were not acknowledged may have reached the new process,
+        which then serves their slots until the grants expire. The lease is
+        released only after that.
         """
-        doubtful = self._holds.stop()
-        self._link.close()
-        self._orders.close()
-        if not doubtful:
-            self._abandon_keys("target-started-anew")
+        uncertain_s = self._slot_grants.stop()
+        self._call_link.close()
+        self._order_link.close()
+        if not uncertain_s:
+            self._release_lease("target-started-anew")
             return
-        logs.event("grants_in_doubt", ms=round(doubtful * 1000))
+        logs.event("grants_in_doubt", ms=round(uncertain_s * 1000))
         self.timers.after(
-            doubtful,
-            functools.partial(self._end_doubt, self._core.incarnation),
+            uncertain_s,
+            functools.partial(
+                self._end_grant_uncertainty, self._core.incarnation
+            ),
         )
 
-    def _end_doubt(self, incarnation: types.Incarnation) -> None:
+    def _end_grant_uncertainty(self, incarnation: types.Incarnation) -> None:
         if incarnation == self._core.incarnation:
-            self._abandon_keys("target-started-anew")
+            self._release_lease("target-started-anew")
         else:
-            self._holds.reset()
+            self._slot_grants.reset()
+
+    def _is_pinned(self, slot: int) -> bool:
+        return not self._slot_grants.is_confirmed(slot)
 
-    def _must_stay(self, slot: int) -> bool:
-        return not self._holds.is_confirmed(slot)
+    def _release_lease_if_absent(self) -> None:
+        if self._local_target.phase is localtarget.Phase.ABSENT:
+            self._release_lease("target-silent")
 
-    def _abandon_if_silent(self) -> None:
-        if self._beside.phase is localtarget.Phase.ABSENT:
-            self._abandon_keys("target-silent")
+    def _release_lease(self, reason: str) -> None:
+        """Releases the lease, so that successors take over at once.
 
-    def _abandon_keys(self, reason: str) -> None:
-        """Lets the successors serve at once: the target holds no key."""
+        The target must hold no slot any more.
+        """
         if self._core.owned:
             logs.event("keys_abandoned", reason=reason)
             self._core.release_lease(now())
-        self._holds.reset()
-        self._carry_out()
+        self._slot_grants.reset()
+        self._perform_effects()
 
-    def _order(
+    def _send_order(
         self,
         order: slotgrants.Grant | slotgrants.Release,
         timeout: float,
         done: Callable[[slotgrants.OrderResult], None],
     ) -> None:
-        def answered(
+        def handle_outcome(
             outcome: result.Result[httplink.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
@@ -378,51 +418,56 @@
                 case result.Failure(exchanges.Failure(cause=cause)):
                     logs.event("order_unanswered", cause=cause.value)
                     if cause is exchanges.Cause.REFUSED:
-                        self._target_refused()
+                        self._handle_connection_refused()
                     done(slotgrants.OrderResult(False))
 
-        def build() -> bytes:
-            current = self._holds.with_remaining_hold(order)
+        def encode() -> bytes:
+            current = self._slot_grants.with_remaining_hold(order)
             if current is None:
                 return b""
             return self._adapter.encode_order(current)
 
-        self._orders.send(build, timeout, answered)
+        self._order_link.send(encode, timeout, handle_outcome)
 
     # The store.
 
-    def _rows_read(
+    def _apply_rows(
         self, rows: list[records.Row], revision: int, as_of: float
     ) -> None:
-        self._core.apply_table_read(_readable(rows), revision, now(), as_of)
+        self._core.apply_table_read(_valid_rows(rows), revision, now(), as_of)
         members = self._core.view.members()
-        linked = {record.peer_address for record in members}
-        self._peers.set_peers(linked | self._entry.addresses())
+        member_addresses = {record.peer_address for record in members}
+        self._transport.set_peers(
+            member_addresses | self._request_dispatcher.addresses()
+        )
         self._adapter.store.set_pause(peersync.read_pause(len(members)))
-        self._budgets.set_daemon_count(len(members))
-        self._carry_out()
+        self._retry_budgets.set_daemon_count(len(members))
+        self._perform_effects()
 
-    def _read_failed(self, problem: str) -> None:
+    def _handle_read_failure(self, problem: str) -> None:
         del problem
         self._core.record_table_failure()
 
-    def _committed(
+    def _handle_commit_result(
         self,
         change: str,
         state: effects.CommitState,
         rows: list[records.Row],
     ) -> None:
-        self._core.handle_commit_result(change, state, _readable(rows), now())
-        self._carry_out()
+        self._core.handle_commit_result(change, state, _valid_rows(rows), now())
+        self._perform_effects()
 
-    def _table_changed(self, table: routetable.RouteTable) -> None:
-        if self._table is not None and table.version <= self._table.version:
+    def _apply_route_table(self, table: routetable.RouteTable) -> None:
+        if (
+            self._route_table is not None
+            and table.version <= self._route_table.version
+        ):
             return
-        self._table = table
-        self._table_since = now()
-        self._index = routetable.RouteIndex(table)
-        self._door.limits = table.limits
-        self._entry.configure(table)
+        self._route_table = table
+        self._route_table_since = now()
+        self._route_index = routetable.RouteIndex(table)
+        self._caller_server.limits = table.limits
+        self._request_dispatcher.configure(table)
         service = table.services.get(self._service)
         keyed = service is not None and service.keyed
         self._core.keyed = keyed
@@ -443,64 +488,72 @@
                 self._runner.submit(
                     dispatch,
                     sender,
-                    functools.partial(self._reply, envelope.address),
+                    functools.partial(self._send_completion, envelope.address),
                 )
             case calls.Completion() as completion:
-                self._entry.handle_completion(sender, completion)
+                self._request_dispatcher.handle_completion(sender, completion)
             case calls.Withdraw(leg=leg):
                 self._runner.withdraw(sender, leg)
             case calls.RouteTableUpdate(source=source):
                 table = self._adapter.decode_table(source)
                 if table is not None:
-                    self._table_changed(table)
+                    self._apply_route_table(table)
             case _:
                 if not self._peer_sync.receive(envelope):
                     self._core.receive(envelope, now())
-                    self._carry_out()
+                    self._perform_effects()
 
-    def _reply(self, address: str, completion: calls.Completion) -> None:
-        self._peers.send(self._core.incarnation, address, completion)
+    def _send_completion(
+        self, address: str, completion: calls.Completion
+    ) -> None:
+        self._transport.send(self._core.incarnation, address, completion)
 
-    def _tell_load(self) -> None:
-        self._core.has_low_load = self._runner.utilisation < _CALM_UTILISATION
+    def _report_load(self) -> None:
+        self._core.has_low_load = (
+            self._runner.utilisation < _LOW_LOAD_UTILISATION
+        )
         self._core.report_load(self._runner.slot_loads(), now())
-        self._carry_out()
+        self._perform_effects()
 
-    # The loop's turns.
+    # Periodic work.
 
     def _tick(self) -> None:
-        moment = now()
-        self._target_changed(
-            self._beside.check_silence(self._runner.last_answered_at, moment)
+        current_time = now()
+        self._apply_transition(
+            self._local_target.check_silence(
+                self._runner.last_answered_at, current_time
+            )
         )
-        leaving = self._leave_at is not None
+        draining = self._listen_until is not None
         self._core.set_target_state(
-            self._beside.phase is localtarget.Phase.SERVING and not leaving,
+            self._local_target.phase is localtarget.Phase.SERVING
+            and not draining,
             True,
         )
-        self._core.tick(moment)
-        self._carry_out()
+        self._core.tick(current_time)
+        self._perform_effects()
         self._peer_sync.update_new_daemons()
-        self._entry.fail_silent_legs()
-        if leaving or self._beside.phase is localtarget.Phase.LEAVING:
-            self._give_keys_up(moment)
+        self._request_dispatcher.fail_silent_legs()
+        if draining or self._local_target.phase is localtarget.Phase.LEAVING:
+            self._release_without_table(current_time)
         else:
-            self._give_up_at = moment + _GIVE_UP_S
-        if leaving:
-            self._leave(moment)
+            self._release_at = current_time + _MOVE_TIMEOUT_S
+        if draining:
+            self._stop_when_idle(current_time)
 
-    def _carry_out(self) -> None:
+    def _perform_effects(self) -> None:
         for effect in self._core.take_effects():
             match effect:
                 case effects.Send(
                     sender=sender, address=address, message=message
                 ):
-                    self._peers.send(sender, address, message)
+                    self._transport.send(sender, address, message)
                 case effects.Commit(change=change):
                     self._adapter.store.commit(
                         change.transaction,
                         functools.partial(
-                            self._committed, change.transaction.change
+                            self._handle_commit_result,
+                            change.transaction.change,
                         ),
                     )
                 case effects.LogLine(event=event, fields=fields):
@@ -508,28 +561,28 @@
                     logs.event(
                         event, incarnation=self._core.incarnation, **fields
                     )
-                case effects.ReleaseSlots(slots=moving):
-                    if moving:
-                        self._hand_offs.begin(moving)
+                case effects.ReleaseSlots(slots=slots):
+                    if slots:
+                        self._slot_releaser.begin(slots)
                     else:
-                        self._hand_offs.end()
+                        self._slot_releaser.end()
                 case effects.ReadTable(urgent=urgent):
-                    # The long poll brings it, after a pause at most.
+                    # Otherwise the long poll reads it, after its pause at most.
                     if urgent:
                         self._adapter.store.skip_pause()
-        self._holds.renew()
+        self._slot_grants.renew()
 
     # Metrics.
 
     def _observe_request(
-        self, flight: dispatcher.PendingRequest, completion: calls.Completion
+        self, pending: dispatcher.PendingRequest, completion: calls.Completion
     ) -> None:
         reason = completion.reason.value if completion.reason else ""
-        elapsed = self.timers.now - flight.begun
+        elapsed = self.timers.now - pending.begun
         self._metrics.observe_request(
-            completion.verdict.value, reason, elapsed, flight.route.name
+            completion.verdict.value, reason, elapsed, pending.route.name
         )
-        if flight.runs > 1:
+        if pending.runs > 1:
             self._metrics.count_event("request_rerun")
 
     def _observe_call(self, verdict: types.Verdict, seconds: float) -> None:
@@ -537,41 +590,41 @@
 
     def _gauges(self) -> dict[str, float]:
         return {
-            "peer_messages_sent": self._peers.sent_messages,
-            "peer_bytes_sent": self._peers.sent_bytes,
-            "peer_messages_dropped": self._peers.dropped_messages,
-            "peer_frames_malformed": self._peers.malformed_frames,
-            "open_connections": self._door.connections,
+            "peer_messages_sent": self._transport.sent_messages,
+            "peer_bytes_sent": self._transport.sent_bytes,
+            "peer_messages_dropped": self._transport.dropped_messages,
+            "peer_frames_malformed": self._transport.malformed_frames,
+            "open_connections": self._caller_server.connections,
         }
 
-    def _pages(self) -> door.Serve:
+    def _build_pages(self) -> door.Serve:
         return routerpages.build(
             routerpages.PageSources(
                 core=self._core,
-                target=self._beside,
+                target=self._local_target,
                 runner=self._runner,
-                dispatcher=self._entry,
-                holds=self._holds,
+                dispatcher=self._request_dispatcher,
+                holds=self._slot_grants,
                 store=self._adapter.store,
                 metrics=self._metrics,
                 route_table=lambda: (
-                    self._table.version if self._table else 0,
-                    self._table_since,
+                    self._route_table.version if self._route_table else 0,
+                    self._route_table_since,
                 ),
                 gauges=self._gauges,
                 clock=now,
             )
         )
 
-    # Readiness and end.
+    # Readiness and shutdown.
 
-    def _asked_ready(self, incoming: door.Incoming) -> None:
+    def _handle_readiness(self, incoming: door.Incoming) -> None:
         ready = (
-            self._leave_at is None
-            and self._table is not None
+            self._listen_until is None
+            and self._route_table is not None
             and self._core.view.is_read
         )
-        incoming.answer(_OK if ready else _UNAVAILABLE, [], b"")
+        incoming.answer(_STATUS_OK if ready else _STATUS_UNAVAILABLE, [], b"")
 
     @circuits.handler("signal", channel="*")
     def _on_signal(
@@ -580,86 +633,97 @@
         del stack
         if number == signal.SIGHUP:
             event.stop()
-            self._reload()
+            self._reload_settings()
             return
         if number not in (signal.SIGTERM, signal.SIGINT):
             return
         event.stop()
-        if self._leave_at is not None:
+        if self._listen_until is not None:
             return
         logs.event("draining", signal=number)
-        moment = now()
-        self._leave_at = moment + _LINGER_S
-        self._end_at = moment + self._settings.router_grace / 1000 - _LAST_S
-        self._door.leaving = True
+        current_time = now()
+        self._listen_until = current_time + _DRAIN_LISTEN_S
+        self._exit_deadline = (
+            current_time + self._settings.router_grace / 1000 - _EXIT_RESERVE_S
+        )
+        self._caller_server.leaving = True
         self._core.drain()
-        # The target may stay, with slots that others can use meanwhile.
-        self.timers.after(_LINGER_S - _STOP_BEFORE_S, self._stop_calls)
+        # The target may keep running, and other daemons can use its capacity
+        # until then.
+        self.timers.after(
+            _DRAIN_LISTEN_S - _STOP_CALLS_BEFORE_CLOSE_S,
+            self._stop_accepting_calls,
+        )
         self._peer_sync.broadcast_status()
 
     @property
-    def _takes_calls(self) -> bool:
-        """Whether the target beside this daemon may be sent new calls."""
-        leaves = self._leave_at is not None and (
-            now() >= self._leave_at - _STOP_BEFORE_S
+    def _accepts_calls(self) -> bool:
+        """Whether the local target may be sent new calls."""
+        is_closing = self._listen_until is not None and (
+            now() >= self._listen_until - _STOP_CALLS_BEFORE_CLOSE_S
+        )
+        return (
+            self._local_target.phase is localtarget.Phase.SERVING
+            and not is_closing
         )
-        return self._beside.phase is localtarget.Phase.SERVING and not leaves
 
-    def _stop_calls(self) -> None:
+    def _stop_accepting_calls(self) -> None:
         self._runner.drain()
         self._peer_sync.broadcast_status()
 
-    def _reload(self) -> None:
-        """Takes over the settings that can change while it runs."""
+    def _reload_settings(self) -> None:
+        """Applies the settings that can change while the process runs."""
         match self._read_settings():
             case result.Failure(problem):
                 logs.event("settings_refused", problem=problem)
             case result.Success(config.Config() as settings):
                 self._settings = settings
-                self._budgets.resize(
+                self._retry_budgets.resize(
                     settings.router_reruns / 100, settings.router_extra_reruns
                 )
                 logs.event("settings_reloaded")
 
-    def _leave(self, moment: float) -> None:
-        """Ends the process, once nothing depends on it any more."""
+    def _stop_when_idle(self, current_time: float) -> None:
+        """Ends the process once it is idle, or at its exit deadline."""
         if self._stopped:
             return
-        if moment > self._leave_at and self._door.is_open:
-            # Callers that come later find nobody, and lose nothing.
-            self._door.close()
+        if current_time > self._listen_until and self._caller_server.is_open:
+            # Later callers get no connection, so no request of theirs is lost.
+            self._caller_server.close()
         idle = (
-            not self._door.is_open
-            and not self._entry.in_flight
+            not self._caller_server.is_open
+            and not self._request_dispatcher.in_flight
             and not self._runner.in_progress
-            and not self._door.in_progress
+            and not self._caller_server.in_progress
             and not self._core.owned
         )
-        if not idle and moment < self._end_at:
+        if not idle and current_time < self._exit_deadline:
             return
         self._stopped = True
-        # Keys still held here are not given up now: the target may run calls
-        # for them until its holds have ended with the lease.
-        logs.event("stopped", in_flight=self._entry.in_flight)
-        faulthandler.dump_traceback_later(_TICK_S + _END_S, exit=True)
-        self.timers.after(_TICK_S, self.stop)
+        # Slots that are still owned are not released here: the target may run
+        # calls for them until its holds expire with the lease.
+        logs.event("stopped", in_flight=self._request_dispatcher.in_flight)
+        faulthandler.dump_traceback_later(
+            _TICK_INTERVAL_S + _EXIT_TIMEOUT_S, exit=True
+        )
+        self.timers.after(_TICK_INTERVAL_S, self.stop)
 
     def close(self) -> None:
-        """Closes the links to other daemons, after the loop has ended."""
-        self._peers.close()
+        """Closes the connections to other daemons after the loop has ended."""
+        self._transport.close()
 
 
-def _readable(rows: list[records.Row]) -> list[records.Row]:
-    """Returns the rows that have the expected shape."""
-    found = []
+def _valid_rows(rows: list[records.Row]) -> list[records.Row]:
+    """Returns the well-formed rows, and logs the others."""
+    valid = []
     for row in rows:
         try:
             records.TableView().merge([row])
         except msgspec.MsgspecError as error:
             logs.event("row_malformed", key=row.key, error=str(error))
         else:
-            found.append(row)
-    return found
+            valid.append(row)
+    return valid
 
 
 def _ownership_settings(settings: config.Config) -> effects.Settings:
@@ -669,18 +733,19 @@
         linger=0.0,
         ordered_keys=True,
         load_half_life=_LOAD_HALF_LIFE_S,
-        load_warmup=_LOAD_UNSETTLED_S,
-        min_tolerance=_TOLERANCE_PERCENT,
+        load_warmup=_LOAD_WARMUP_S,
+        min_tolerance=_MIN_TOLERANCE_PERCENT,
         anchor=settings.ownership_anchor / 1000,
     )
 
 
 def run(router: Router) -> None:
     """Runs a router until it has drained after SIGTERM."""
-    # What exists by now stays: collections need not look at it again.
+    # These objects live as long as the process: collections can skip them.
     gc.collect()
     gc.freeze()
     router.run()
     router.close()
-    # Libraries report what is still held when the interpreter ends.
+    # Frozen objects would still exist when the interpreter ends, and libraries
+    # would report them as leaked.
     gc.unfreeze()
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -1,4 +1,4 @@
-"""What a router tells collectors and operators, at its metrics address."""
+"""HTTP pages of a router for operators and for collectors of metrics."""
 
 import urllib.parse
 from collections.abc import Callable
@@ -17,28 +17,29 @@
     slotgrants,
 )
 
-_OK = 200
-_BAD = 400
-_NOT_FOUND = 404
+_STATUS_OK = 200
+_STATUS_BAD_REQUEST = 400
+_STATUS_NOT_FOUND = 404
 
-# Takes the query's fields; raises KeyError or ValueError if they are bad.
+# Builds a page from the fields of the query; raises KeyError or ValueError
+# where they are missing or invalid.
 Page = Callable[[dict[str, str]], adapter.Response]
 
 
 class PageSources(msgspec.Struct, frozen=True):
-    """The router's parts that the pages look at.
+    """Holds the components of a router that the pages read.
 
     Attributes:
-        core: Leases and slots.
-        target: What is known of the target beside it.
-        runner: Calls for that target.
-        dispatcher: Requests that came in here.
-        holds: What the target holds.
-        store: Where rows last.
+        core: The daemon's lease and slots.
+        target: State of the local target.
+        runner: Calls for the local target.
+        dispatcher: Callers' requests that this daemon received.
+        holds: Slots granted to the local target.
+        store: Client of the store that keeps the table's rows.
         metrics: Counters and histograms.
-        route_table: Version of the route table in force, and since when in
-            seconds on this daemon's clock.
-        gauges: More values, by name.
+        route_table: Returns the version of the route table in force, and
+            since when it has been, seconds on this daemon's clock.
+        gauges: Returns further gauges by name.
         clock: Returns monotonic time, seconds.
     """
 
@@ -55,30 +56,30 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What a router says of itself.
+    """Holds a router's state as the status page shows it.
 
     Attributes:
-        daemon: Its name.
-        service: The service of the target beside it.
-        data_centre: Where it stands.
-        incarnation: This process start's id.
-        epoch: The lease's epoch.
-        lease_left_ms: Time until the lease ends; 0 once it has.
+        daemon: Name of the daemon.
+        service: Service of the local target.
+        data_centre: Data centre of the daemon's VM.
+        incarnation: Id of the daemon's current incarnation.
+        epoch: Epoch of the lease.
+        lease_left_ms: Time until the lease expires; 0 once it has.
         owned: Number of slots owned.
-        unrecorded: Of those, slots that the table does not show yet.
+        unrecorded: Number of those that the table does not record yet.
         witnesses: Incarnations that witness the lease.
-        draining: Whether it is leaving.
-        target: Id of the target, or "".
-        phase: What may be done with it.
-        capacity: Calls that it is sent at once.
-        running: Calls at it.
-        waiting: Calls that wait for it.
-        in_flight: Callers' requests under way here.
-        table_revision: Revision up to which the rows were read.
-        table_read_age_ms: How long ago that was.
+        draining: Whether the daemon is leaving.
+        target: Instance id of the local target, or "".
+        phase: Phase of the local target: absent, serving or leaving.
+        capacity: Most calls sent to the target at once.
+        running: Calls at the target.
+        waiting: Calls queued for the target.
+        in_flight: Callers' requests that this daemon has not answered yet.
+        table_revision: Revision up to which the table has been read.
+        table_read_age_ms: Age of the table's state that was read last.
         routes_version: Version of the route table in force.
-        routes_age_ms: For how long it has been in force.
-        pending: What the awaited transaction is for, if there is one.
+        routes_age_ms: Time since that version came into force.
+        pending: Kind of change that is being committed, or "".
     """
 
     daemon: str
@@ -104,112 +105,114 @@
     pending: str
 
 
-def build(parts: PageSources) -> door.Serve:
-    """Returns what answers requests for the pages."""
-    found: dict[str, Page] = {
-        "/metrics": lambda query: _metrics(parts),
-        "/status": lambda query: _json(status(parts)),
+def build(sources: PageSources) -> door.Serve:
+    """Returns the handler of requests for the pages."""
+    pages: dict[str, Page] = {
+        "/metrics": lambda query: _metrics(sources),
+        "/status": lambda query: _json(status(sources)),
         "/owners": lambda query: _json(
-            reports.owners(parts.core, query.get("service"))
+            reports.owners(sources.core, query.get("service"))
         ),
-        "/explain": lambda query: _json(_explain(parts, query)),
+        "/explain": lambda query: _json(_explain(sources, query)),
     }
 
-    def answer(incoming: door.Incoming) -> None:
+    def handle(incoming: door.Incoming) -> None:
         path, _, query = incoming.target.partition("?")
-        page = found.get(path)
+        page = pages.get(path)
         if page is None:
-            incoming.answer(_NOT_FOUND, [], b"no such page")
+            incoming.answer(_STATUS_NOT_FOUND, [], b"no such page")
             return
         try:
-            said = page(dict(urllib.parse.parse_qsl(query)))
+            response = page(dict(urllib.parse.parse_qsl(query)))
         except (KeyError, ValueError) as error:
-            incoming.answer(_BAD, [], str(error).encode("utf-8"))
+            incoming.answer(_STATUS_BAD_REQUEST, [], str(error).encode("utf-8"))
             return
-        incoming.answer(said.status, said.headers, said.body)
+        incoming.answer(response.status, response.headers, response.body)
 
-    return answer
+    return handle
 
 
-def status(parts: PageSources) -> Status:
-    """Returns what the router says of itself."""
-    core = parts.core
-    queue = parts.runner.queue
-    moment = parts.clock()
-    version, since = parts.route_table()
+def status(sources: PageSources) -> Status:
+    """Returns the router's current state."""
+    core = sources.core
+    queue = sources.runner.queue
+    current_time = sources.clock()
+    version, in_force_since = sources.route_table()
     return Status(
         daemon=core.settings.daemon,
         service=core.settings.service,
         data_centre=core.settings.data_centre,
         incarnation=core.incarnation,
         epoch=core.epoch,
-        lease_left_ms=_ms(max(0.0, core.lease_until() - moment)),
+        lease_left_ms=_ms(max(0.0, core.lease_until() - current_time)),
         owned=len(core.owned),
         unrecorded=len(core.unrecorded),
         witnesses=core.grants().witnesses,
         draining=core.draining,
-        target=parts.target.instance,
-        phase=parts.target.phase.value,
+        target=sources.target.instance,
+        phase=sources.target.phase.value,
         capacity=queue.capacity,
         running=queue.running,
         waiting=queue.waiting,
-        in_flight=parts.dispatcher.in_flight,
+        in_flight=sources.dispatcher.in_flight,
         table_revision=core.view.cursor,
-        table_read_age_ms=_ms(moment - core.table_as_of),
+        table_read_age_ms=_ms(current_time - core.table_as_of),
         routes_version=version,
-        routes_age_ms=_ms(moment - since),
+        routes_age_ms=_ms(current_time - in_force_since),
         pending=core.pending.kind.value if core.pending else "",
     )
 
 
-def _explain(parts: PageSources, query: dict[str, str]) -> reports.Explanation:
+def _explain(
+    sources: PageSources, query: dict[str, str]
+) -> reports.Explanation:
     service = query["service"]
     position = int(query["key"])
     if not 0 <= position < slots.POSITION_COUNT:
         raise ValueError(f"key {position} is not below {slots.POSITION_COUNT}")
     slot = slots.slot_of_position(
-        position, reports.slot_count(parts.core, service)
+        position, reports.slot_count(sources.core, service)
     )
-    found = reports.explanation(
-        parts.core, service, query["key"], slot, parts.clock()
+    explanation = reports.explanation(
+        sources.core, service, query["key"], slot, sources.clock()
     )
-    if found.here and not parts.holds.is_held(slot, parts.clock()):
+    if explanation.here and not sources.holds.is_held(slot, sources.clock()):
         return msgspec.structs.replace(
-            found, here=False, refusal="not-held-by-target"
+            explanation, here=False, refusal="not-held-by-target"
         )
-    return found
+    return explanation
 
 
-def _metrics(parts: PageSources) -> adapter.Response:
-    found = status(parts)
+def _metrics(sources: PageSources) -> adapter.Response:
+    state = status(sources)
     values = {
-        "owned_slots": found.owned,
-        "lease_left_seconds": found.lease_left_ms / 1000,
-        "epoch": found.epoch,
-        "in_progress": found.running,
-        "queued": found.waiting,
-        "table_revision": found.table_revision,
-        "renewal_lateness_seconds": parts.core.renewal_lateness,
-        "held_runs": parts.holds.range_count,
-        "route_table_version": found.routes_version,
-        "route_table_age_seconds": found.routes_age_ms / 1000,
-        "table_read_age_seconds": found.table_read_age_ms / 1000,
-        **parts.gauges(),
+        "owned_slots": state.owned,
+        "lease_left_seconds": state.lease_left_ms / 1000,
+        "epoch": state.epoch,
+        "in_progress": state.running,
+        "queued": state.waiting,
+        "table_revision": state.table_revision,
+        "renewal_lateness_seconds": sources.core.renewal_lateness,
+        "held_runs": sources.holds.range_count,
+        "route_table_version": state.routes_version,
+        "route_table_age_seconds": state.routes_age_ms / 1000,
+        "table_read_age_seconds": state.table_read_age_ms / 1000,
+        **sources.gauges(),
     }
     for name, value in values.items():
-        parts.metrics.set_gauge(name, value)
-    parts.metrics.set_store_calls(parts.store.call_counts())
-    body, headers = parts.metrics.render("text/plain")
-    said = [
+        sources.metrics.set_gauge(name, value)
+    sources.metrics.set_store_calls(sources.store.call_counts())
+    body, headers = sources.metrics.render("text/plain")
+    fields = [
         (name.lower().encode("ascii"), value.encode("ascii"))
         for name, value in headers.items()
     ]
-    return adapter.Response(_OK, said, body)
+    return adapter.Response(_STATUS_OK, fields, body)
 
 
 def _json(value: object) -> adapter.Response:
     headers = [(b"content-type", b"application/json")]
-    return adapter.Response(_OK, headers, msgspec.json.encode(value))
+    return adapter.Response(_STATUS_OK, headers, msgspec.json.encode(value))
 
 
 def _ms(seconds: float) -> int:
