--- a/tamarackgap/platform/__main__.py
+++ b/tamarackgap/platform/__main__.py
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Runs until SIGTERM; returns the exit code."""
+    """Runs the daemon until SIGTERM; returns the exit status."""
     path = os.environ.get(_SETTINGS_VARIABLE)
     if path is None:
         print(f"{_SETTINGS_VARIABLE} is not set", file=sys.stderr)
--- a/tamarackgap/platform/names.py
+++ b/tamarackgap/platform/names.py
@@ -1,19 +1,24 @@
-"""The platform's header names and paths, in lower case where it matters."""
+"""Names of the platform's headers, paths and tables.
 
-# The platform says "attempt": each try of a client has its own id.
+Header names are in lower case, as in the requests and answers they are looked
+up in.
+"""
+
+# Carries the request id: each attempt of a client is a request of its own.
 ATTEMPT_ID = b"x-tamarackgap-attempt-id"
 TIMEOUT_MS = b"x-tamarackgap-timeout-ms"
-# Marks a body as the whole body of a server's answer; nobody checks it here.
+# Signs the whole body of a server's answer. Only its presence matters here; the
+# signature is not verified.
 RESPONSE_SIGNATURE = b"x-tamarackgap-response-signature"
-# The request is for this instance only; any other server answers 421.
+# Names the only server instance that may run the request; others answer 421.
 TARGET_INSTANCE = b"x-tamarackgap-target-instance"
 NOT_EXECUTED = b"x-tamarackgap-not-executed"
-# Running requests, waiting requests and slots, separated by commas.
+# Numbers of running requests, waiting requests and slots, separated by commas.
 SERVER_LOAD = b"x-tamarackgap-server-load"
 RETRY_AFTER = b"retry-after"
-# Service of the machine where the request began, not of its client.
+# Service of the machine that received the request, not of its client.
 CALLER_SERVICE = b"x-tamarackgap-caller-service"
-# A whole number from 0 to 65535: a position rather than a key.
+# An integer from 0 to 65535: the position of a key, not the key itself.
 SHARD_KEY = b"x-tamarackgap-shard-key"
 HANDOVER = b"x-tamarackgap-handover"
 
@@ -26,8 +31,8 @@
 ROWS_GET = "/-/rows-get"
 ROWS_FEED = "/-/rows-feed"
 
-# Table and key under which the operator keeps the newest configuration.
+# Table and key of the operator's newest configuration.
 OPERATOR_TABLE = "op"
 OPERATOR_KEY = "config"
-# Table of this system's own rows.
+# Table of this system's own rows: leases, policies and their history.
 OWN_TABLE = "tamarackgap"
--- a/tamarackgap/platform/operatorconfig.py
+++ b/tamarackgap/platform/operatorconfig.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded once into the product's types."""
+"""Decodes the operator's configuration into a route table."""
 
 import msgspec
 
@@ -6,8 +6,8 @@
 from tamarackgap.network import door
 from tamarackgap.traffic import routetable
 
-_IDEMPOTENT = {"idempotent": True, "non_idempotent": False}
-_HEXADECIMAL = 16
+_IDEMPOTENT_BY_KIND = {"idempotent": True, "non_idempotent": False}
+_VERSION_BASE = 16
 
 
 class _Metadata(msgspec.Struct):
@@ -15,7 +15,7 @@
 
 
 class _Resource(msgspec.Struct):
-    # The kind of item, not of a request.
+    # "routes", "services" or "limits"; others are ignored.
     type: str
     spec: msgspec.Raw
     metadata: _Metadata = msgspec.field(default_factory=_Metadata)
@@ -57,17 +57,20 @@
 
 
 def decode(value: bytes) -> routetable.RouteTable | None:
-    """Returns the configuration in a row's value, or None if unreadable."""
+    """Returns the route table in a row's value, or None if it is unreadable.
+
+    Resources that can't be decoded are logged and left out.
+    """
     try:
-        found = msgspec.json.decode(value, type=_Configuration)
-        version = int(found.version, _HEXADECIMAL)
+        configuration = msgspec.json.decode(value, type=_Configuration)
+        version = int(configuration.version, _VERSION_BASE)
     except (msgspec.MsgspecError, ValueError) as error:
         logs.event("configuration_malformed", error=str(error))
         return None
     routes: list[routetable.Route] = []
     services: dict[types.ServiceName, routetable.Service] = {}
     limits = door.Limits()
-    for resource in found.resources:
+    for resource in configuration.resources:
         try:
             match resource.type:
                 case "routes":
@@ -91,17 +94,17 @@
 
 def _route(resource: _Resource) -> routetable.Route:
     spec = msgspec.json.decode(resource.spec, type=_Route)
-    shares = spec.traffic_split or [_Split(spec.service, 1.0)]
+    splits = spec.traffic_split or [_Split(spec.service, 1.0)]
     return routetable.Route(
         name=resource.metadata.name,
         host=spec.host,
         prefix=spec.path_prefix,
         shares=tuple(
-            routetable.Share(types.ServiceName(share.service), share.weight)
-            for share in shares
-            if share.weight > 0
+            routetable.Share(types.ServiceName(split.service), split.weight)
+            for split in splits
+            if split.weight > 0
         ),
-        idempotent=_IDEMPOTENT[spec.kind],
+        idempotent=_IDEMPOTENT_BY_KIND[spec.kind],
         timeout=spec.timeout_ms / 1000,
         latency_objective=spec.target_latency_ms / 1000,
         max_attempts=spec.max_attempts,
--- a/tamarackgap/platform/requests.py
+++ b/tamarackgap/platform/requests.py
@@ -1,4 +1,4 @@
-"""Requests and answers: clients' on the one side, servers' on the other."""
+"""Decodes and encodes requests and answers of clients and servers."""
 
 from returns import result
 
@@ -9,9 +9,9 @@
 from tamarackgap.platform import names
 from tamarackgap.traffic import adapter
 
-# What concerns one connection only, what this system sets itself, and what
-# is written anew.
-_NOT_PASSED_ON = frozenset(
+# Headers that concern one connection only, and headers that this system sets
+# itself or writes anew.
+_HEADERS_NOT_PASSED_ON = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -29,63 +29,82 @@
         names.CALLER_SERVICE,
     }
 )
-_NOT_RUN_STATUS = frozenset({408, 429, 503})
-_MISDIRECTED = 421
-_UNAVAILABLE = 503
-_FAILED = 502
-_TIMED_OUT = 504
-_BAD = 400
+_STATUSES_READ_AS_NOT_RUN = frozenset({408, 429, 503})
+_STATUS_MISDIRECTED = 421
+_STATUS_UNAVAILABLE = 503
+_STATUS_BAD_GATEWAY = 502
+_STATUS_GATEWAY_TIMEOUT = 504
+_STATUS_BAD_REQUEST = 400
 
 
 def decode_call(
-    incoming: door.Incoming, origin: types.ServiceName
+    incoming: door.Incoming, caller_service: types.ServiceName
 ) -> result.Result[adapter.DecodedRequest, str]:
-    """Returns a client's request, or what is wrong with it."""
+    """Decodes a client's request.
+
+    Args:
+        incoming: The request as it was received.
+        caller_service: Service of this machine.
+
+    Returns:
+        The decoded request, or what is wrong with it.
+    """
     host = b""
-    request = b""
+    request_id = b""
     timeout: float | None = None
     position: int | None = None
-    named = {
+    connection_headers = {
         token.strip().lower()
         for name, value in incoming.headers
         if name == b"connection"
         for token in value.split(b",")
     }
-    lines = []
+    header_lines = []
     for name, value in incoming.headers:
         if name == b"host":
             host = value
         elif name == names.ATTEMPT_ID:
-            request = value
+            request_id = value
         elif name == names.TIMEOUT_MS:
             if not value.isdigit():
-                return result.Failure(f"timeout {value!r}: no whole number")
+                return result.Failure(
+                    f"timeout {value!r} is not a whole number"
+                )
             timeout = int(value) / 1000
         elif name == names.SHARD_KEY:
             if not value.isdigit() or int(value) >= slots.POSITION_COUNT:
-                return result.Failure(f"key {value!r}: not in range")
+                return result.Failure(f"shard key {value!r} is not in range")
             position = int(value)
-        if name not in _NOT_PASSED_ON and name not in named:
-            lines.append(b"%b: %b\r\n" % (name, value))
-    if not request:
-        return result.Failure("no request id")
+        if (
+            name not in _HEADERS_NOT_PASSED_ON
+            and name not in connection_headers
+        ):
+            header_lines.append(b"%b: %b\r\n" % (name, value))
+    if not request_id:
+        return result.Failure("the attempt id is missing")
     call = calls.Call(
-        types.RequestId(request.decode("latin-1")),
-        origin,
+        types.RequestId(request_id.decode("latin-1")),
+        caller_service,
         incoming.method,
         incoming.target,
-        b"".join(lines),
+        b"".join(header_lines),
         incoming.body,
         position,
     )
-    name = host.decode("latin-1").partition(":")[0]
-    return result.Success(adapter.DecodedRequest(name, call, timeout))
+    host_name = host.decode("latin-1").partition(":")[0]
+    return result.Success(adapter.DecodedRequest(host_name, call, timeout))
 
 
 def encode_call(dispatch: calls.Dispatch, left_ms: int, instance: str) -> bytes:
-    """Returns a call's bytes for the server beside this daemon."""
+    """Returns the bytes of a call to the local server.
+
+    Args:
+        dispatch: The call.
+        left_ms: Time until the caller's deadline, milliseconds.
+        instance: Id of the only server instance that may run it.
+    """
     call = dispatch.call
-    head = (
+    parts = (
         f"{call.method} {call.request_target} HTTP/1.1\r\n".encode("latin-1"),
         call.head,
         b"%b: %d\r\n" % (names.TIMEOUT_MS, left_ms),
@@ -95,7 +114,7 @@
         b"content-length: %d\r\n\r\n" % len(call.body),
         call.body,
     )
-    return b"".join(head)
+    return b"".join(parts)
 
 
 def encode_json(method: str, path: str, host: str, body: bytes) -> bytes:
@@ -108,20 +127,20 @@
     return head.encode("ascii") + body
 
 
-def is_answer_to(request: str, answer: httplink.Answer) -> bool:
-    """Returns whether an answer is the one to a request.
+def is_answer_to(request_id: str, answer: httplink.Answer) -> bool:
+    """Returns whether an answer belongs to a request.
 
-    Servers echo the id, but for some refusals.
+    Servers echo the request id, except in some refusals.
     """
     echoed = answer.header(names.ATTEMPT_ID)
     if echoed is None:
         return True
-    return echoed == request.encode("latin-1")
+    return echoed == request_id.encode("latin-1")
 
 
 def decode_answer(leg: int, answer: httplink.Answer) -> calls.Completion:
-    """Returns what a server's answer means."""
-    if answer.status == _MISDIRECTED:
+    """Returns the completion of a leg from the server's answer."""
+    if answer.status == _STATUS_MISDIRECTED:
         return calls.Completion(
             leg, types.Verdict.NOT_RUN, types.Reason.TARGET_MISDIRECTED
         )
@@ -130,19 +149,19 @@
         if _is_full(answer):
             reason = types.Reason.TARGET_FULL
         return calls.Completion(leg, types.Verdict.NOT_RUN, reason)
-    signed = answer.header(names.RESPONSE_SIGNATURE) is not None
-    encoded = answer.header(b"content-encoding") is not None
-    spoilt = encoded or (answer.status < 300 and not signed)
-    # Only the header says that a request has not run; these statuses would
-    # say the same to the client.
-    if spoilt or answer.status in _NOT_RUN_STATUS:
+    is_signed = answer.header(names.RESPONSE_SIGNATURE) is not None
+    is_encoded = answer.header(b"content-encoding") is not None
+    is_invalid = is_encoded or (answer.status < 300 and not is_signed)
+    # Only the header shows that a request has not run. Without it, these
+    # statuses are not passed on: clients would conclude that it has not.
+    if is_invalid or answer.status in _STATUSES_READ_AS_NOT_RUN:
         return calls.Completion(
             leg, types.Verdict.MAY_HAVE_RUN, types.Reason.TARGET_FAILED
         )
     head = b"".join(
         b"%b: %b\r\n" % header
         for header in answer.headers
-        if header[0] not in _NOT_PASSED_ON
+        if header[0] not in _HEADERS_NOT_PASSED_ON
     )
     return calls.Completion(
         leg,
@@ -154,20 +173,22 @@
 
 
 def _is_full(answer: httplink.Answer) -> bool:
-    """Returns whether a server that refused a request had no slot for it.
+    """Returns whether a server that refused a request had no free slot.
 
-    One that does not tell its load is taken to be full.
+    A server that doesn't report its load counts as full.
     """
     load = answer.header(names.SERVER_LOAD)
-    fields = (load or b"").split(b",")
-    if len(fields) != 3 or not all(field.strip().isdigit() for field in fields):
+    numbers = (load or b"").split(b",")
+    if len(numbers) != 3 or not all(
+        number.strip().isdigit() for number in numbers
+    ):
         return True
-    running, waiting, capacity = (int(field) for field in fields)
+    running, waiting, capacity = (int(number) for number in numbers)
     return running >= capacity or waiting > 0
 
 
 def encode_answer(completion: calls.Completion) -> adapter.Response:
-    """Returns how a completion is told to the client."""
+    """Returns the response to the client for a completion."""
     if completion.verdict is types.Verdict.ANSWERED:
         headers = [
             tuple(line.split(b": ", 1))
@@ -177,9 +198,15 @@
         return adapter.Response(completion.status, headers, completion.body)
     reason = completion.reason
     if reason is types.Reason.BAD_REQUEST:
-        return adapter.Response(_BAD, [], b"")
+        return adapter.Response(_STATUS_BAD_REQUEST, [], b"")
     if completion.verdict is types.Verdict.MAY_HAVE_RUN:
         timed_out = reason is types.Reason.NO_ANSWER
-        return adapter.Response(_TIMED_OUT if timed_out else _FAILED, [], b"")
-    wait = f"{completion.retry_after:.3f}".encode("ascii")
-    return adapter.Response(_UNAVAILABLE, [(names.RETRY_AFTER, wait)], b"")
+        return adapter.Response(
+            _STATUS_GATEWAY_TIMEOUT if timed_out else _STATUS_BAD_GATEWAY,
+            [],
+            b"",
+        )
+    retry_after = f"{completion.retry_after:.3f}".encode("ascii")
+    return adapter.Response(
+        _STATUS_UNAVAILABLE, [(names.RETRY_AFTER, retry_after)], b""
+    )
--- a/tamarackgap/platform/servers.py
+++ b/tamarackgap/platform/servers.py
@@ -1,4 +1,4 @@
-"""The server beside this daemon: what it announces, and orders to it."""
+"""Decodes announcements of the local server, and encodes orders to it."""
 
 import msgspec
 
@@ -7,9 +7,9 @@
 from tamarackgap.platform import names, requests
 from tamarackgap.traffic import localtarget, slotgrants
 
-_OK = 200
-_SUPERSEDED = 409
-_STATES = {"ready": False, "draining": True}
+_STATUS_OK = 200
+_STATUS_SUPERSEDED = 409
+_LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
 class _Heartbeat(msgspec.Struct):
@@ -18,12 +18,12 @@
     state: str
     seq: int
     cold_remaining_ms: float = 0.0
-    # Unix milliseconds of this life's start.
+    # Start of the server process, Unix time in milliseconds.
     born: int = 0
 
 
 class _GrantBody(msgspec.Struct, rename={"first": "from", "last": "target"}):
-    # "target" is the last key of the range, not a server.
+    # "target" is the last position of the range, not a server.
     first: int
     last: int
     fence: int
@@ -40,39 +40,41 @@
 def decode_announcement(
     incoming: door.Incoming,
 ) -> localtarget.Announcement | None:
-    """Returns what a server says of itself, or None for anything else."""
+    """Returns a server's announcement, or None if the request is none."""
     path = incoming.target.partition("?")[0]
     if incoming.method != "POST" or not path.startswith(names.INSTANCES):
         return None
-    rest = path[len(names.INSTANCES) :]
-    instance, slash, verb = rest.rpartition("/")
+    name_and_action = path[len(names.INSTANCES) :]
+    instance, slash, action = name_and_action.rpartition("/")
     if not instance or not slash:
         return None
-    if "/" + verb == names.DEREGISTER:
+    if "/" + action == names.DEREGISTER:
         return localtarget.Announcement(instance, final=True)
-    if "/" + verb != names.HEARTBEAT:
+    if "/" + action != names.HEARTBEAT:
         return None
     try:
-        said = msgspec.json.decode(incoming.body, type=_Heartbeat)
+        heartbeat = msgspec.json.decode(incoming.body, type=_Heartbeat)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         logs.event("announcement_malformed", error=str(error))
         return None
-    if said.state not in _STATES:
-        logs.event("announcement_malformed", error=f"state {said.state}")
+    if heartbeat.state not in _LEAVING_BY_STATE:
+        logs.event(
+            "announcement_malformed", error=f"unknown state {heartbeat.state}"
+        )
         return None
     return localtarget.Announcement(
         instance,
-        said.service,
-        said.slots,
-        _STATES[said.state],
-        said.cold_remaining_ms / 1000,
-        said.born,
-        said.seq,
+        heartbeat.service,
+        heartbeat.slots,
+        _LEAVING_BY_STATE[heartbeat.state],
+        heartbeat.cold_remaining_ms / 1000,
+        heartbeat.born,
+        heartbeat.seq,
     )
 
 
 def encode_order(order: slotgrants.Grant | slotgrants.Release) -> bytes:
-    """Returns the bytes of an order to the server beside this daemon."""
+    """Returns the bytes of a request that carries an order to the server."""
     match order:
         case slotgrants.Grant():
             path = names.GRANT
@@ -94,10 +96,10 @@
 
 
 def decode_order_answer(answer: httplink.Answer) -> slotgrants.OrderResult:
-    """Returns what a server's answer to an order means."""
+    """Returns the result of an order from the server's answer."""
     handover = answer.header(names.HANDOVER) or b""
     return slotgrants.OrderResult(
-        answer.status == _OK,
-        answer.status == _SUPERSEDED,
+        answer.status == _STATUS_OK,
+        answer.status == _STATUS_SUPERSEDED,
         handover.decode("latin-1"),
     )
--- a/tamarackgap/platform/store.py
+++ b/tamarackgap/platform/store.py
@@ -1,4 +1,4 @@
-"""The client of the platform's store: rows, conditions and long polls."""
+"""Client of the platform's store: reads, long polls and transactions."""
 
 import base64
 import binascii
@@ -16,33 +16,35 @@
 from tamarackgap.platform import names, operatorconfig, requests
 from tamarackgap.traffic import routetable
 
-_IDLE_S = 20.0
-_SILENCE_MS = 2500
-_TIMEOUT_S = 2.0
-# Each long poll costs a call, and a poll on a silent connection hears
-# nothing until it is over.
-_POLL_S = 8.0
-_POLL_MARGIN_S = 1.0
-# Pause after a change until the next poll, until another one is set, seconds.
-_PAUSE_S = 1.0
-_OPERATOR_PAUSE_S = 0.02
-_RETRY_S = 0.4
-_RETRY_MAX_S = 1.0
-_OK = 200
-_CONDITION_FAILED = 412
-_HISTORY_LOST = 410
+_IDLE_TIMEOUT_S = 20.0
+_ACK_TIMEOUT_MS = 2500
+_CALL_TIMEOUT_S = 2.0
+# A longer poll costs fewer calls, but on a connection that has gone silent
+# changes are missed until the poll ends.
+_LONG_POLL_S = 8.0
+_LONG_POLL_MARGIN_S = 1.0
+# Pause between a change and the next poll, until `set_pause` sets another one.
+_INITIAL_PAUSE_S = 1.0
+_CONFIGURATION_PAUSE_S = 0.02
+_MIN_RETRY_PAUSE_S = 0.4
+_MAX_RETRY_PAUSE_S = 1.0
+_STATUS_OK = 200
+_STATUS_CONDITION_FAILED = 412
+_STATUS_HISTORY_LOST = 410
 
 
 class _Row(msgspec.Struct):
     key: str
+    # The row's revision.
     ver: int
     value: str = ""
     removed: bool = False
 
 
-class _Rows(msgspec.Struct):
+class _RowsAnswer(msgspec.Struct):
+    # The revision up to which the rows are complete.
     ver: int = 0
-    # Milliseconds on the store's steady clock.
+    # Time of the answer on the store's monotonic clock, milliseconds.
     now_ms: int = 0
     rows: list[msgspec.Raw] = []
     has_more: bool = False
@@ -52,7 +54,7 @@
     table: str
     part: str
     key: str
-    # The revision that the row must have; 0 where it must not exist.
+    # The revision that the row must have; 0 if it must not exist.
     ver: int
 
 
@@ -60,7 +62,7 @@
     table: str
     part: str
     key: str
-    # Base64.
+    # In base64.
     value: str
 
 
@@ -71,19 +73,19 @@
 
 
 class _Transaction(msgspec.Struct):
-    # A list of rows, though it is named like one revision.
+    # A list of conditions, despite its name.
     expected_revision: list[_Expected]
     put: list[_Put]
     remove: list[_Key]
 
 
-# Called with rows, the revision up to which they go, and since when that is
-# known to have been the state of the table.
+# Called with rows, the revision up to which they are complete, and the time on
+# this process's clock at which the table had that state, seconds.
 Rows = Callable[[list[records.Row], int, float], None]
 
 
 class Store:
-    """All calls of this daemon to the platform's store."""
+    """Makes all calls of this daemon to the platform's store."""
 
     def __init__(
         self, poller: sockets.Poller, timers: scheduler.Scheduler, address: str
@@ -98,65 +100,84 @@
         self._timers = timers
         self._address = address
         self._link = httplink.Link(
-            poller, timers, address, _IDLE_S, _SILENCE_MS
+            poller, timers, address, _IDLE_TIMEOUT_S, _ACK_TIMEOUT_MS
         )
-        self._counts: dict[str, int] = {}
-        self._own_rows: _Watch | None = None
+        self._call_counts: dict[str, int] = {}
+        self._own_watch: _TableWatch | None = None
         # Least difference seen between this clock and the store's, seconds.
-        self._offset = float("inf")
+        self._clock_offset_s = float("inf")
 
     def to_local_clock(self, store_ms: int) -> float:
-        """Returns a moment on this clock that is not after the store's.
+        """Returns a time of the store on this process's clock, seconds.
 
-        The fastest answer so far tells how the clocks lie at the most.
+        The difference of the clocks is the least one seen so far, that of the
+        fastest answer: a slow answer only makes it look larger.
+
+        Args:
+            store_ms: Time on the store's clock, milliseconds.
         """
-        moment = store_ms / 1000
-        self._offset = min(self._offset, self._timers.now - moment)
-        return moment + self._offset
+        store_s = store_ms / 1000
+        self._clock_offset_s = min(
+            self._clock_offset_s, self._timers.now - store_s
+        )
+        return store_s + self._clock_offset_s
 
     def call_counts(self) -> dict[str, int]:
-        """Returns how many calls were made, by kind and result."""
-        return dict(self._counts)
+        """Returns the number of calls by path and result."""
+        return dict(self._call_counts)
 
     def watch(self, rows: Rows, failed: Callable[[str], None]) -> None:
-        """Reads the system's own rows, then each change, for good."""
-        self._own_rows = _Watch(self, names.OWN_TABLE, _PAUSE_S, rows, failed)
-        self._own_rows.begin()
+        """Reads this system's rows, then each change, until the process ends.
+
+        Args:
+            rows: Called after each read.
+            failed: Called with the cause when a read has failed.
+        """
+        self._own_watch = _TableWatch(
+            self, names.OWN_TABLE, _INITIAL_PAUSE_S, rows, failed
+        )
+        self._own_watch.begin()
 
     def skip_pause(self) -> None:
-        """Reads the system's own rows now, if they wait for a pause to end."""
-        if self._own_rows is not None:
-            self._own_rows.skip_pause()
+        """Reads changes of this system's rows without the pause."""
+        if self._own_watch is not None:
+            self._own_watch.skip_pause()
 
     def set_pause(self, pause: float) -> None:
-        """Sets how long changes of the system's own rows are gathered.
+        """Sets the pause in which changes of this system's rows are gathered.
 
         Args:
-            pause: From reading some until the next poll, seconds; a poll that
-                follows a pause is shorter by it.
+            pause: Time from reading changes until the next poll, seconds. The
+                poll that follows a pause is shorter by it.
         """
-        if self._own_rows is not None:
-            self._own_rows.pause = min(pause, _POLL_S)
+        if self._own_watch is not None:
+            self._own_watch.pause = min(pause, _LONG_POLL_S)
 
     def watch_route_table(
         self, changed: Callable[[routetable.RouteTable], None]
     ) -> None:
-        """Reads the operator's configuration, and each new version."""
+        """Reads the operator's configuration, then each new version.
+
+        Args:
+            changed: Called with each version that could be decoded.
+        """
 
-        def rows(found: list[records.Row], revision: int, as_of: float) -> None:
+        def handle_rows(
+            rows: list[records.Row], revision: int, as_of: float
+        ) -> None:
             del revision, as_of
-            for row in found:
+            for row in rows:
                 if row.key != names.OPERATOR_KEY or row.value is None:
                     continue
                 table = operatorconfig.decode(row.value.encode("utf-8"))
                 if table is not None:
                     changed(table)
 
-        watch = _Watch(
+        watch = _TableWatch(
             self,
             names.OPERATOR_TABLE,
-            _OPERATOR_PAUSE_S,
-            rows,
+            _CONFIGURATION_PAUSE_S,
+            handle_rows,
             lambda problem: None,
         )
         watch.begin()
@@ -166,14 +187,20 @@
         transaction: records.Transaction,
         done: Callable[[effects.CommitState, list[records.Row]], None],
     ) -> None:
-        """Puts a transaction; its outcome may stay unknown."""
+        """Commits a transaction; its outcome may stay unknown.
+
+        Args:
+            transaction: The checks and writes.
+            done: Called once with the outcome and with rows: those written, or
+                after a conflict the checked rows as they are now.
+        """
         body = _Transaction(
             [
                 _Expected(names.OWN_TABLE, "", check.key, check.revision)
                 for check in transaction.checks
             ],
             [
-                _Put(names.OWN_TABLE, "", write.key, _encode(write.value))
+                _Put(names.OWN_TABLE, "", write.key, _encode_value(write.value))
                 for write in transaction.writes
                 if write.value is not None
             ],
@@ -187,8 +214,8 @@
             "POST",
             names.ROWS_TX,
             msgspec.json.encode(body),
-            _TIMEOUT_S,
-            functools.partial(_committed, transaction, done),
+            _CALL_TIMEOUT_S,
+            functools.partial(_handle_commit_answer, transaction, done),
         )
 
     def call(
@@ -199,24 +226,35 @@
         timeout: float,
         done: httplink.Done,
     ) -> httplink.Exchange:
-        """Makes a call."""
-        kind = path.partition("?")[0]
+        """Makes a call with a JSON body, and counts its result.
+
+        Args:
+            method: HTTP method.
+            path: Path and query.
+            body: The body, encoded.
+            timeout: Longest wait for the whole answer, seconds.
+            done: Called once with the answer or the failure.
+
+        Returns:
+            The exchange under way.
+        """
+        path_only = path.partition("?")[0]
         data = requests.encode_json(method, path, self._address, body)
 
-        def counted(
+        def handle_outcome(
             outcome: result.Result[httplink.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
                 case result.Success(httplink.Answer(status=status)):
-                    name = f"{kind} {status}"
+                    name = f"{path_only} {status}"
                 case result.Failure(exchanges.Failure(cause=cause)):
-                    name = f"{kind} {cause.value}"
+                    name = f"{path_only} {cause.value}"
                 case _:
                     raise AssertionError(outcome)
-            self._counts[name] = self._counts.get(name, 0) + 1
+            self._call_counts[name] = self._call_counts.get(name, 0) + 1
             done(outcome)
 
-        return self._link.send(lambda: data, timeout, counted)
+        return self._link.send(lambda: data, timeout, handle_outcome)
 
     @property
     def timers(self) -> scheduler.Scheduler:
@@ -224,200 +262,208 @@
         return self._timers
 
 
-class _Watch:
-    """One table, read whole and then followed change by change."""
+class _TableWatch:
+    """Reads a table whole, then follows its changes by long polls."""
 
     def __init__(
         self,
         store: Store,
         table: str,
         pause: float,
-        rows: Rows,
-        failed: Callable[[str], None],
+        on_rows: Rows,
+        on_failure: Callable[[str], None],
     ) -> None:
         self._store = store
         self._table = table
-        # Changes that come within it are read together, seconds.
+        # Changes within this time after a read are read together, seconds.
         self.pause = pause
-        # How much of it went by before the next poll.
-        self._gathered = 0.0
-        self._rows = rows
-        self._failed = failed
-        # Up to here all changes have been read; None asks for a whole read.
+        # Length of the pause before the next poll, seconds.
+        self._next_pause_s = 0.0
+        self._on_rows = on_rows
+        self._on_failure = on_failure
+        # All changes up to this revision have been read; None asks for a read
+        # of the whole table.
         self._revision: int | None = None
-        self._keys: set[str] = set()
-        self._page: list[records.Row] = []
-        self._retry = _RETRY_S
+        self._known_keys: set[str] = set()
+        self._rows_so_far: list[records.Row] = []
+        self._retry_pause_s = _MIN_RETRY_PAUSE_S
         self._is_failing = False
-        # The next call, while it waits for a pause to end.
-        self._paused: scheduler.Timer | None = None
-        self._hurried = False
+        # Makes the next call when the pause ends; None outside of pauses.
+        self._pause_timer: scheduler.Timer | None = None
+        self._skip_next_pause = False
 
     def skip_pause(self) -> None:
-        """Leaves out the pause after changes; one after a failure goes on."""
-        if self._paused is None:
-            self._hurried = True
+        """Ends the pause after a change; a pause after a failure goes on."""
+        if self._pause_timer is None:
+            self._skip_next_pause = True
         elif not self._is_failing:
-            self._paused.cancel()
-            self._gathered = 0.0
+            self._pause_timer.cancel()
+            self._next_pause_s = 0.0
             self.begin()
 
     def begin(self) -> None:
         """Makes the next call."""
-        self._paused = None
+        self._pause_timer = None
         if self._revision is None:
-            self._get("")
+            self._read_page("")
             return
-        # Owners rely on having read the table at least this often.
-        wait = _POLL_S - self._gathered
-        self._gathered = 0.0
+        # A poll after a pause is shorter by it: owners rely on having read the
+        # table at least once in each `_LONG_POLL_S`.
+        wait = _LONG_POLL_S - self._next_pause_s
+        self._next_pause_s = 0.0
         wait_ms = round(wait * 1000)
         path = (
             f"{names.ROWS_FEED}?table={self._table}"
             f"&after={self._revision}&wait_ms={wait_ms}"
         )
-        self._call(path, wait + _POLL_MARGIN_S, self._fed)
+        self._call(path, wait + _LONG_POLL_MARGIN_S, self._handle_feed)
 
-    def _get(self, start: str) -> None:
+    def _read_page(self, start: str) -> None:
         if not start:
-            self._page = []
+            self._rows_so_far = []
         query = urllib.parse.urlencode(
             {"table": self._table, "part": "", "from": start, "limit": 500}
         )
-        self._call(f"{names.ROWS_GET}?{query}", _TIMEOUT_S, self._got)
+        self._call(
+            f"{names.ROWS_GET}?{query}", _CALL_TIMEOUT_S, self._handle_page
+        )
 
     def _call(
         self,
         path: str,
         timeout: float,
-        take: Callable[[httplink.Answer], bool],
+        handle_answer: Callable[[httplink.Answer], bool],
     ) -> None:
-        def done(
+        def handle_outcome(
             outcome: result.Result[httplink.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
                 case result.Success(httplink.Answer() as answer):
-                    if not take(answer):
-                        self._fail(f"status {answer.status}")
+                    if not handle_answer(answer):
+                        self._handle_failure(f"status {answer.status}")
                 case result.Failure(exchanges.Failure(cause=cause)):
-                    self._fail(cause.value)
+                    self._handle_failure(cause.value)
 
-        self._store.call("GET", path, b"", timeout, done)
+        self._store.call("GET", path, b"", timeout, handle_outcome)
 
-    def _fail(self, problem: str) -> None:
+    def _handle_failure(self, problem: str) -> None:
         if not self._is_failing:
             self._is_failing = True
             logs.event("store_lost", table=self._table, problem=problem)
-        self._failed(problem)
-        self._again(self._retry)
-        self._retry = min(self._retry * 2, _RETRY_MAX_S)
+        self._on_failure(problem)
+        self._schedule(self._retry_pause_s)
+        self._retry_pause_s = min(self._retry_pause_s * 2, _MAX_RETRY_PAUSE_S)
 
-    def _again(self, pause: float) -> None:
-        self._paused = self._store.timers.after(pause, self.begin)
+    def _schedule(self, pause: float) -> None:
+        self._pause_timer = self._store.timers.after(pause, self.begin)
 
-    def _worked(self) -> None:
-        self._retry = _RETRY_S
+    def _handle_success(self) -> None:
+        self._retry_pause_s = _MIN_RETRY_PAUSE_S
         if self._is_failing:
             self._is_failing = False
             logs.event("store_regained", table=self._table)
 
-    def _got(self, answer: httplink.Answer) -> bool:
-        page = _decode_rows(answer)
+    def _handle_page(self, answer: httplink.Answer) -> bool:
+        page = _decode_answer(answer)
         if page is None:
             return False
-        self._page += _rows(page)
-        if page.has_more and self._page:
-            # The range begins with the key itself: the next one is wanted.
-            self._get(self._page[-1].key + "\0")
+        self._rows_so_far += _decode_rows(page)
+        if page.has_more and self._rows_so_far:
+            # A range includes its first key: start just after the last one.
+            self._read_page(self._rows_so_far[-1].key + "\0")
             return True
-        self._worked()
-        found = self._page
-        self._page = []
-        present = {row.key for row in found}
-        gone = [
-            records.Row(key, None, page.ver) for key in self._keys - present
+        self._handle_success()
+        rows = self._rows_so_far
+        self._rows_so_far = []
+        present_keys = {row.key for row in rows}
+        removed = [
+            records.Row(key, None, page.ver)
+            for key in self._known_keys - present_keys
         ]
-        self._keys = present
+        self._known_keys = present_keys
         self._revision = page.ver
-        self._rows(
-            found + gone, page.ver, self._store.to_local_clock(page.now_ms)
+        self._on_rows(
+            rows + removed, page.ver, self._store.to_local_clock(page.now_ms)
         )
-        self._again(0.0)
+        self._schedule(0.0)
         return True
 
-    def _fed(self, answer: httplink.Answer) -> bool:
-        if answer.status == _HISTORY_LOST:
+    def _handle_feed(self, answer: httplink.Answer) -> bool:
+        if answer.status == _STATUS_HISTORY_LOST:
             logs.event("store_history_lost", table=self._table)
             self._revision = None
-            self._again(0.0)
+            self._schedule(0.0)
             return True
-        page = _decode_rows(answer)
+        page = _decode_answer(answer)
         if page is None:
             return False
-        self._worked()
-        found = _rows(page)
-        self._keys |= {row.key for row in found if row.value is not None}
+        self._handle_success()
+        rows = _decode_rows(page)
+        self._known_keys |= {row.key for row in rows if row.value is not None}
         self._revision = max(self._revision or 0, page.ver)
-        self._rows(found, page.ver, self._store.to_local_clock(page.now_ms))
-        if found and not self._hurried:
-            self._gathered = self.pause
-        self._again(self._gathered)
-        self._hurried = False
+        self._on_rows(rows, page.ver, self._store.to_local_clock(page.now_ms))
+        if rows and not self._skip_next_pause:
+            self._next_pause_s = self.pause
+        self._schedule(self._next_pause_s)
+        self._skip_next_pause = False
         return True
 
 
-def _decode_rows(answer: httplink.Answer) -> _Rows | None:
-    if answer.status != _OK:
+def _decode_answer(answer: httplink.Answer) -> _RowsAnswer | None:
+    if answer.status != _STATUS_OK:
         return None
     try:
-        return msgspec.json.decode(answer.body, type=_Rows)
+        return msgspec.json.decode(answer.body, type=_RowsAnswer)
     except msgspec.MsgspecError as error:
         logs.event("store_answer_malformed", error=str(error))
         return None
 
 
-def _rows(page: _Rows) -> list[records.Row]:
-    """Returns the rows that can be read; each other one is left out."""
-    found = []
+def _decode_rows(page: _RowsAnswer) -> list[records.Row]:
+    """Returns the rows that can be decoded, and logs the others."""
+    rows = []
     for raw in page.rows:
         try:
             row = msgspec.json.decode(raw, type=_Row)
-            value = None if row.removed else _decode(row.value)
+            value = None if row.removed else _decode_value(row.value)
         except (msgspec.MsgspecError, ValueError) as error:
             logs.event("row_malformed", error=str(error))
             continue
-        found.append(records.Row(row.key, value, row.ver))
-    return found
+        rows.append(records.Row(row.key, value, row.ver))
+    return rows
 
 
-def _encode(value: str) -> str:
+def _encode_value(value: str) -> str:
     return base64.b64encode(value.encode("utf-8")).decode("ascii")
 
 
-def _decode(value: str) -> str:
+def _decode_value(value: str) -> str:
     try:
         return base64.b64decode(value, validate=True).decode("utf-8")
     except binascii.Error as error:
         raise ValueError(str(error)) from error
 
 
-def _committed(
+def _handle_commit_answer(
     transaction: records.Transaction,
     done: Callable[[effects.CommitState, list[records.Row]], None],
     outcome: result.Result[httplink.Answer, exchanges.Failure],
 ) -> None:
     match outcome:
         case result.Success(httplink.Answer(status=status) as answer):
-            page = _outcome(answer)
-            if page is not None and status == _OK:
+            page = _decode_commit_answer(answer)
+            if page is not None and status == _STATUS_OK:
                 rows = [
                     records.Row(write.key, write.value, page.ver)
                     for write in transaction.writes
                 ]
                 done(effects.CommitState.COMMITTED, rows)
                 return
-            if page is not None and status == _CONDITION_FAILED:
-                done(effects.CommitState.CONFLICT, _current(transaction, page))
+            if page is not None and status == _STATUS_CONDITION_FAILED:
+                done(
+                    effects.CommitState.CONFLICT,
+                    _current_rows(transaction, page),
+                )
                 return
             logs.event("commit_unknown", status=status)
         case result.Failure(exchanges.Failure(cause=cause)):
@@ -425,24 +471,24 @@
     done(effects.CommitState.UNKNOWN, [])
 
 
-def _outcome(answer: httplink.Answer) -> _Rows | None:
-    if answer.status not in (_OK, _CONDITION_FAILED):
+def _decode_commit_answer(answer: httplink.Answer) -> _RowsAnswer | None:
+    if answer.status not in (_STATUS_OK, _STATUS_CONDITION_FAILED):
         return None
     try:
-        return msgspec.json.decode(answer.body, type=_Rows)
+        return msgspec.json.decode(answer.body, type=_RowsAnswer)
     except msgspec.MsgspecError as error:
         logs.event("store_answer_malformed", error=str(error))
         return None
 
 
-def _current(
-    transaction: records.Transaction, page: _Rows
+def _current_rows(
+    transaction: records.Transaction, page: _RowsAnswer
 ) -> list[records.Row]:
-    """Returns the checked rows as they are now; absent ones are deleted."""
-    found = _rows(page)
-    present = {row.key for row in found}
-    return found + [
+    """Returns the checked rows as they are now; absent ones have no value."""
+    rows = _decode_rows(page)
+    present_keys = {row.key for row in rows}
+    return rows + [
         records.Row(check.key, None, page.ver)
         for check in transaction.checks
-        if check.key not in present and page.ver
+        if check.key not in present_keys and page.ver
     ]
