--- a/tests/platform/test_operations.py
+++ b/tests/platform/test_operations.py
@@ -1,4 +1,4 @@
-"""The ways that docs/OPERATIONS.md shows, gone from an id to the cause."""
+"""Follows the steps of docs/OPERATIONS.md from a request id to the cause."""
 
 import concurrent.futures
 import json
@@ -14,7 +14,7 @@
 
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "OPERATIONS.md"
 READY_S = 20
-LOGGED_S = 3.0
+LOG_WAIT_S = 3.0
 
 
 @pytest.fixture(scope="module")
@@ -28,8 +28,8 @@
             ("west", "money", True),
         ],
         READY_S,
-    ) as found:
-        yield found
+    ) as started:
+        yield started
 
 
 def _section(title):
@@ -38,20 +38,21 @@
 
 
 def _lines(site, event, **fields):
-    """Returns the fields of all daemons' lines of an event."""
-    found = []
+    """Returns the fields of each log line of an event, of all daemons."""
+    lines = []
     for place in site.places:
         for line in place.log.read_text(errors="replace").splitlines():
             pairs = dict(re.findall(r'(\w+)=("[^"]*"|\S*)', line))
             if pairs.get("event") == event and all(
                 pairs.get(name) == value for name, value in fields.items()
             ):
-                found.append(pairs)
-    return found
+                lines.append(pairs)
+    return lines
 
 
 def _logged(site, event, **fields):
-    assert site_lib.wait(LOGGED_S, lambda: _lines(site, event, **fields))
+    """Waits for log lines of an event, and returns their fields."""
+    assert site_lib.wait(LOG_WAIT_S, lambda: _lines(site, event, **fields))
     return _lines(site, event, **fields)
 
 
@@ -88,7 +89,7 @@
     assert call["daemon"] == "north"
     assert int(call["running"]) >= 8
     assert int(call["waiting"]) > 0
-    # What it had left was not enough for its turn and the work.
+    # The time left was too short for the wait and the work.
     needed = int(call["wait_ms"]) + int(call["work_ms"])
     assert needed > int(call["left_ms"]) * 0.5
 
@@ -100,39 +101,41 @@
     )
     owner.server.fault = "cut"
     try:
-        found = site_lib.call(
+        response = site_lib.call(
             site.places[0], "money.example", "/pay", key=5, method="POST"
         )
     finally:
         owner.server.fault = ""
-    assert found[0] == 502
-    (line, *_) = _logged(site, "request", request=found[3])
+    assert response[0] == 502
+    (line, *_) = _logged(site, "request", request=response[3])
     assert line["verdict"] == "may-have-run"
-    (call, *_) = _logged(site, "call", request=found[3])
+    (call, *_) = _logged(site, "call", request=response[3])
     assert call["daemon"] == owner.name
     assert call["reason"] in _reasons(title)
-    # The target lives: it was a single answer.
+    # A single answer failed; the target is still running.
     assert not _lines(site, "target_changed", daemon=owner.name, change="lost")
 
 
 def _run(*words):
-    found = testing.CliRunner().invoke(cmdline.cli, [*words, "--json"])
-    return found.exit_code, json.loads(found.stdout or "null")
+    invocation = testing.CliRunner().invoke(cmdline.cli, [*words, "--json"])
+    return invocation.exit_code, json.loads(invocation.stdout or "null")
 
 
-def test_the_commands_work_on_the_platform(site):
+def test_operator_commands_work_on_routers(site):
     place = next(place for place in site.places if place.server.holds(30_000))
     code, status = _run("status", "--daemon", place.metrics)
     assert code == 0
     assert (status["daemon"], status["phase"]) == (place.name, "serving")
-    code, found = _run(
+    code, explanation = _run(
         "explain", "30000", "--daemon", place.metrics, "--service", "money"
     )
     assert code == 0
-    assert (found["daemon"], found["here"]) == (place.name, True)
+    assert (explanation["daemon"], explanation["here"]) == (place.name, True)
     other = site.places[0].metrics
-    found = _run("explain", "30000", "--daemon", other, "--service", "money")[1]
-    assert (found["daemon"], found["here"]) == (place.name, False)
+    explanation = _run(
+        "explain", "30000", "--daemon", other, "--service", "money"
+    )[1]
+    assert (explanation["daemon"], explanation["here"]) == (place.name, False)
     code, rows = _run("owners", "--daemon", other, "--service", "money")
     assert code == 0
     owned = {row["daemon"]: row["slots"] for row in rows if row["slots"]}
@@ -141,13 +144,13 @@
 
 
 @pytest.mark.parametrize("key", ["70000", "x"])
-def test_a_key_that_is_none_gets_one_line(site, key):
+def test_an_invalid_key_is_reported_in_one_line(site, key):
     words = ["explain", key, "--service", "money", "--daemon"]
-    found = testing.CliRunner().invoke(
+    invocation = testing.CliRunner().invoke(
         cmdline.cli, [*words, site.places[0].metrics]
     )
-    assert found.exit_code != 0
-    assert len(found.output.splitlines()) == 1
+    assert invocation.exit_code != 0
+    assert len(invocation.output.splitlines()) == 1
 
 
 def test_a_key_without_an_owner_during_a_takeover(site):
@@ -159,7 +162,7 @@
     )
     owner.kill()
     time.sleep(0.3)
-    found = site_lib.call(
+    response = site_lib.call(
         site.places[0],
         "money.example",
         "/pay",
@@ -168,17 +171,17 @@
         timeout_ms=300,
     )
     try:
-        assert found[0] in (502, 503, 504)
-        (line, *_) = _logged(site, "request", request=found[3])
+        assert response[0] in (502, 503, 504)
+        (line, *_) = _logged(site, "request", request=response[3])
         assert line["reason"] in _reasons(title)
-        lost = line["owner"]
-        # The owner's start names the daemon that was lost.
-        (start, *_) = _logged(site, "started", incarnation=lost)
+        lost_owner = line["owner"]
+        # The log line of the owner's start names its daemon.
+        (start, *_) = _logged(site, "started", incarnation=lost_owner)
         assert start["daemon"] == owner.name
         assert {"takeover_begun", "taken_over"} <= _reasons(title)
-        _logged(site, "takeover_begun", owner=lost)
-        over = _logged(site, "taken_over", owner=lost)
-        assert {taken["daemon"] for taken in over} <= {
+        _logged(site, "takeover_begun", owner=lost_owner)
+        takeovers = _logged(site, "taken_over", owner=lost_owner)
+        assert {takeover["daemon"] for takeover in takeovers} <= {
             place.name for place in site.places if place.keyed
         }
     finally:
--- a/tests/platform/test_operatorconfig.py
+++ b/tests/platform/test_operatorconfig.py
@@ -4,7 +4,7 @@
 from tamarackgap.platform import operatorconfig
 
 
-def test_a_configuration_is_decoded_whole():
+def test_a_configuration_is_decoded():
     split = site.route("r", "H.example", "/a/", "", priority=0)
     del split["spec"]["service"]
     split["spec"]["traffic_split"] = [
@@ -16,7 +16,7 @@
     )
     (route,) = table.routes
     assert table.version == 18
-    assert [(s.service, s.weight) for s in route.shares] == [
+    assert [(share.service, share.weight) for share in route.shares] == [
         ("a", 90),
         ("b", 10),
     ]
@@ -32,7 +32,7 @@
     )
 
 
-def test_one_unreadable_item_spoils_no_other():
+def test_an_unreadable_resource_is_left_out():
     good = site.route("good", "h", "/", "a")
     bad = {"type": "routes", "metadata": {"name": "bad"}, "spec": {"host": 3}}
     odd = site.route("odd", "h", "/odd/", "a")
@@ -41,7 +41,7 @@
     assert [route.name for route in table.routes] == ["good"]
 
 
-def test_bytes_that_are_no_configuration_are_left_alone():
+def test_an_unreadable_configuration_is_ignored():
     assert operatorconfig.decode(b"\xff") is None
     assert operatorconfig.decode(b"[]") is None
     assert (
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path on stand-ins of the platform, as real processes."""
+"""Tests routers as real processes, with stand-ins for the platform."""
 
 import concurrent.futures
 import json
@@ -11,16 +11,16 @@
 from standins import site as site_lib
 
 READY_S = 20
-# A lease, the wait for its end, and the successor's first grant.
+# A lease, the wait until it has expired, and the successor's first grant.
 TAKEOVER_S = 6
-# A daemon that leaves keeps its door open for so long.
-LINGER_S = 2.6
-# Announcements and what daemons tell each other of them take no longer.
-STATUS_S = 1.0
-# Calls under way at a daemon that leaves.
-CALLS = 12
-# A leaving server gets nothing more after this.
-LEAVE_S = 2.0
+# A draining daemon accepts callers for this time.
+DRAIN_LISTEN_S = 2.6
+# An announcement reaches all daemons within this time.
+ANNOUNCEMENT_DELAY_S = 1.0
+# Calls in progress at a daemon that drains.
+CALL_COUNT = 12
+# A draining server gets no more requests after this time.
+SERVER_DRAIN_S = 2.0
 
 
 @pytest.fixture(scope="module")
@@ -35,8 +35,8 @@
             ("centre", "money", True),
         ],
         READY_S,
-    ) as found:
-        yield found
+    ) as started:
+        yield started
 
 
 def _runs(site, request):
@@ -59,15 +59,15 @@
     assert status == 200
     assert headers["x-tamarackgap-response-signature"] == "signed"
     assert headers["x-tamarackgap-attempt-id"] == request
-    told = json.loads(body)
-    assert told["path"] == "/book/hall?seat=7"
-    assert told["body"] == "me"
-    assert told["origin"] == "money"
-    assert 0 < int(told["left_ms"]) <= 1500
+    echo = json.loads(body)
+    assert echo["path"] == "/book/hall?seat=7"
+    assert echo["body"] == "me"
+    assert echo["origin"] == "money"
+    assert 0 < int(echo["left_ms"]) <= 1500
     assert len(_runs(site, request)) == 1
 
 
-def test_each_key_is_run_by_the_one_that_holds_it(site):
+def test_each_key_runs_at_the_server_that_holds_it(site):
     for key in range(0, 65_536, 5000):
         holders = [
             place.name for place in site.places if place.server.holds(key)
@@ -106,8 +106,10 @@
 
 
 def test_a_key_out_of_range_is_bad(site):
-    found = site_lib.call(site.places[0], "money.example", "/pay", key=70_000)
-    assert found[0] == 400
+    response = site_lib.call(
+        site.places[0], "money.example", "/pay", key=70_000
+    )
+    assert response[0] == 400
 
 
 def test_a_longer_prefix_and_a_later_version_win(site):
@@ -152,7 +154,7 @@
 
 
 @pytest.mark.parametrize("fault", ["cut", "unsigned"])
-def test_what_may_have_run_is_neither_repeated_nor_called_unrun(site, fault):
+def test_a_request_that_may_have_run_is_not_repeated(site, fault):
     for place in site.places[:2]:
         place.server.fault = fault
     try:
@@ -166,7 +168,7 @@
     assert len(_runs(site, request)) == 1
 
 
-def test_a_refusal_says_when_to_come_back(site):
+def test_a_refusal_has_a_retry_after_header(site):
     for place in site.places[:2]:
         place.server.fault = "full"
     try:
@@ -181,7 +183,7 @@
     assert _runs(site, request) == []
 
 
-def test_bytes_that_are_no_request_get_400_and_the_daemon_lives(site):
+def test_malformed_bytes_get_400_and_the_daemon_goes_on(site):
     host, port = site.places[0].callers.split(":")
     with socket.create_connection((host, int(port)), timeout=5) as sock:
         sock.sendall(b"nonsense\r\n\r\n")
@@ -196,22 +198,22 @@
         assert sock.recv(100).startswith(b"HTTP/1.1 408")
 
 
-def test_two_requests_at_once_on_a_connection_are_answered_in_turn(site):
+def test_pipelined_requests_are_answered_in_order(site):
     host, port = site.places[0].callers.split(":")
-    one = (
+    template = (
         b"GET /browse/%d HTTP/1.1\r\nHost: seats.example\r\n"
         b"X-Tamarackgap-Attempt-Id: pipe%d\r\n"
         b"X-Tamarackgap-Timeout-Ms: 1000\r\n\r\n"
     )
     with socket.create_connection((host, int(port)), timeout=5) as sock:
-        sock.sendall(one % (1, 1) + one % (2, 2))
-        found = b""
-        while found.count(b"/browse/") < 2:
-            found += sock.recv(4096)
-    assert found.index(b"pipe1") < found.index(b"pipe2")
+        sock.sendall(template % (1, 1) + template % (2, 2))
+        answers = b""
+        while answers.count(b"/browse/") < 2:
+            answers += sock.recv(4096)
+    assert answers.index(b"pipe1") < answers.index(b"pipe2")
 
 
-def test_a_killed_daemon_is_succeeded_and_comes_back(site):
+def test_keys_of_a_killed_daemon_are_served_and_it_rejoins(site):
     place = site.places[2]
     keys = [key for key in range(0, 65_536, 1000) if place.server.holds(key)]
     assert keys
@@ -235,7 +237,7 @@
     )
 
 
-def test_everything_killed_at_once_serves_again(site):
+def test_daemons_serve_again_after_all_were_killed(site):
     for place in site.places:
         place.kill()
     for place in site.places:
@@ -243,7 +245,7 @@
     assert site_lib.wait(READY_S, site.works)
 
 
-def test_a_server_that_starts_anew_is_used_again(site):
+def test_a_restarted_server_is_used_again(site):
     place = site.places[3]
     place.server.stop()
     place.start_server()
@@ -254,33 +256,33 @@
     )
 
 
-def test_a_request_that_crashes_servers_is_stopped_after_two(site):
+def test_a_request_that_crashes_servers_is_barred_after_two(site):
     places = [place for place in site.places if place.service == "seats"]
     path = "/browse/deadly"
-    lives = []
+    servers = []
 
-    def bring_back():
+    def restart_crashed():
         for place in places:
             if place.server.ended:
                 place.start_server()
-            if place.server not in lives:
-                lives.append(place.server)
+            if place.server not in servers:
+                servers.append(place.server)
             place.server.deadly = path
         return site.works()
 
-    def crashes():
-        return sum(life.ended for life in lives)
+    def crash_count():
+        return sum(server.ended for server in servers)
 
     try:
-        assert site_lib.wait(READY_S, bring_back)
+        assert site_lib.wait(READY_S, restart_crashed)
         for _ in range(6):
             site_lib.call(site.places[2], "seats.example", path)
-            # Its daemon sees the end by a refused connection.
-            assert site_lib.wait(READY_S, bring_back)
-        assert crashes() == 2
-        found = site_lib.call(site.places[3], "seats.example", path)
-        assert found[0] == 503
-        assert float(found[1]["retry-after"]) > 1
+            # The daemon detects the crash by a refused connection.
+            assert site_lib.wait(READY_S, restart_crashed)
+        assert crash_count() == 2
+        response = site_lib.call(site.places[3], "seats.example", path)
+        assert response[0] == 503
+        assert float(response[1]["retry-after"]) > 1
         other = site_lib.call(site.places[3], "seats.example", "/browse/x")
         assert other[0] == 200
     finally:
@@ -288,19 +290,20 @@
             place.server.deadly = ""
 
 
-def test_the_store_may_be_away(site):
-    # What a move meets that is just being written is another matter.
+def test_requests_are_served_while_the_store_fails(site):
+    # A move that the failure interrupts may fail requests, which is not what
+    # this test is about.
     assert site_lib.wait(READY_S, site.is_quiet)
     site.store.failing = 503
     try:
         for place in site.places:
-            found = site_lib.call(place, "money.example", "/pay", key=30_000)
-            assert found[0] == 200
+            response = site_lib.call(place, "money.example", "/pay", key=30_000)
+            assert response[0] == 200
     finally:
         site.store.failing = None
 
 
-def test_a_server_that_leaves_while_the_store_is_away_gets_no_work(site):
+def test_a_draining_server_gets_no_work_while_the_store_is_silent(site):
     assert site_lib.wait(READY_S, site.is_quiet)
     place = site.places[4]
     keys = [key for key in range(0, 65_536, 500) if place.server.holds(key)]
@@ -309,13 +312,13 @@
     try:
         place.server.state = "draining"
         assert place.server.say()
-        time.sleep(LEAVE_S)
-        ran = len(place.server.ran)
+        time.sleep(SERVER_DRAIN_S)
+        ran_before = len(place.server.ran)
         statuses = [
             site_lib.call(site.places[0], "money.example", "/pay", key=key)[0]
             for key in keys
         ]
-        assert len(place.server.ran) == ran
+        assert len(place.server.ran) == ran_before
         assert statuses.count(200) == len(keys)
     finally:
         site.store.silent = False
@@ -324,7 +327,7 @@
     assert site_lib.wait(READY_S, site.works)
 
 
-def test_lost_history_is_read_anew(site):
+def test_the_configuration_is_read_again_after_lost_history(site):
     site.store.forget_history()
     site.store.put("op", "config", site_lib.configuration(20, *site_lib.USUAL))
     assert site_lib.wait(
@@ -336,13 +339,13 @@
     )
 
 
-def test_a_target_is_used_while_the_daemon_beside_it_leaves(site):
+def test_a_target_is_used_while_its_daemon_drains(site):
     assert site_lib.wait(READY_S, site.works)
     place = site.places[1]
     place.process.send_signal(signal.SIGTERM)
     assert site_lib.wait(1, lambda: not place.is_ready())
-    ran = len(place.server.ran)
-    # So many at once that one target alone is not the better choice.
+    ran_before = len(place.server.ran)
+    # Enough concurrent calls that using both targets is faster than one.
     with concurrent.futures.ThreadPoolExecutor(20) as pool:
         answers = list(
             pool.map(
@@ -353,24 +356,24 @@
             )
         )
     assert [answer[0] for answer in answers] == [200] * 40
-    assert len(place.server.ran) > ran
+    assert len(place.server.ran) > ran_before
     assert place.process.wait(timeout=6) == 0
     place.start()
     assert site_lib.wait(READY_S, site.works)
 
 
-def test_calls_under_way_at_a_daemon_that_leaves_are_answered(site):
+def test_calls_in_progress_at_a_draining_daemon_are_answered(site):
     assert site_lib.wait(READY_S, site.works)
-    # All calls fit into one target, however they are shared out.
+    # Each target has room for all calls, however they are distributed.
     for each in site.places[:2]:
-        each.server.slots = CALLS
+        each.server.slots = CALL_COUNT
         each.server.work_s = 1.2
-    time.sleep(STATUS_S)
-    begun = []
+    time.sleep(ANNOUNCEMENT_DELAY_S)
+    calls_begun_at = []
     for each in site.places[:2]:
-        each.server.begins = lambda server, *_: begun.append(server)
+        each.server.begins = lambda server, *_: calls_begun_at.append(server)
     try:
-        with concurrent.futures.ThreadPoolExecutor(CALLS) as pool:
+        with concurrent.futures.ThreadPoolExecutor(CALL_COUNT) as pool:
             answers = [
                 pool.submit(
                     site_lib.call,
@@ -380,11 +383,14 @@
                     method="POST",
                     timeout_ms=2000,
                 )
-                for _ in range(CALLS)
+                for _ in range(CALL_COUNT)
             ]
-            assert site_lib.wait(0.5, lambda: len(begun) > CALLS / 2)
+            assert site_lib.wait(
+                0.5, lambda: len(calls_begun_at) > CALL_COUNT / 2
+            )
             place = max(
-                site.places[:2], key=lambda place: begun.count(place.server)
+                site.places[:2],
+                key=lambda place: calls_begun_at.count(place.server),
             )
             place.process.send_signal(signal.SIGTERM)
             statuses = [answer.result()[0] for answer in answers]
@@ -395,19 +401,17 @@
             each.server.slots = 8
             each.server.work_s = 0.005
             each.server.begins = lambda *_: None
-    assert statuses == [200] * CALLS
+    assert statuses == [200] * CALL_COUNT
     assert site_lib.wait(READY_S, site.works)
 
 
 @pytest.mark.parametrize("index", [0, 4])
-def test_a_daemon_that_leaves_serves_its_callers_until_its_door_closes(
-    site, index
-):
+def test_a_draining_daemon_serves_callers_until_it_stops_listening(site, index):
     assert site_lib.wait(READY_S, site.works)
     place = site.places[index]
     place.process.send_signal(signal.SIGTERM)
-    # It has left its lease, and nobody has called it for a while.
-    time.sleep(LINGER_S - 0.2)
+    # The daemon has left its lease, and has had no callers for a while.
+    time.sleep(DRAIN_LISTEN_S - 0.2)
     statuses = [
         site_lib.call(place, "seats.example", "/browse/x")[0] for _ in range(6)
     ]
@@ -421,7 +425,7 @@
     place = site.places[0]
     place.process.send_signal(signal.SIGTERM)
     assert site_lib.wait(1, lambda: not place.is_ready())
-    # Callers come until they have noticed.
+    # Callers keep using the daemon until their readiness checks fail.
     assert site_lib.call(place, "seats.example", "/browse/x")[0] == 200
     assert place.process.wait(timeout=6) == 0
     assert place.lines("stopped")
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -5,12 +5,12 @@
 from tamarackgap.platform import requests
 
 
-def _judge(status, **headers):
-    named = [
+def _decode(status, **headers):
+    header_pairs = [
         (name.replace("_", "-").encode(), value)
         for name, value in headers.items()
     ]
-    return requests.decode_answer(1, httplink.Answer(status, named, b""))
+    return requests.decode_answer(1, httplink.Answer(status, header_pairs, b""))
 
 
 @pytest.mark.parametrize(
@@ -23,21 +23,21 @@
         (b"1,2", types.Reason.TARGET_FULL),
     ],
 )
-def test_a_refusal_is_told_from_a_full_target_by_its_load(load, reason):
-    found = _judge(
+def test_the_load_header_tells_a_full_target_from_a_refusal(load, reason):
+    completion = _decode(
         503,
         x_tamarackgap_not_executed=b"1",
         x_tamarackgap_server_load=load,
     )
-    assert found.verdict is types.Verdict.NOT_RUN
-    assert found.reason is reason
+    assert completion.verdict is types.Verdict.NOT_RUN
+    assert completion.reason is reason
 
 
-def test_another_target_than_was_meant_has_not_run_it():
-    found = _judge(421)
-    assert found.verdict is types.Verdict.NOT_RUN
-    assert found.reason is types.Reason.TARGET_MISDIRECTED
+def test_a_misdirected_request_has_not_run():
+    completion = _decode(421)
+    assert completion.verdict is types.Verdict.NOT_RUN
+    assert completion.reason is types.Reason.TARGET_MISDIRECTED
 
 
 def test_503_without_the_header_may_have_run():
-    assert _judge(503).verdict is types.Verdict.MAY_HAVE_RUN
+    assert _decode(503).verdict is types.Verdict.MAY_HAVE_RUN
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -7,12 +7,12 @@
 from tamarackgap.network import exchanges, httplink
 from tamarackgap.platform import store
 
-# An owner must have read the table at least this often, seconds.
-LONGEST_S = 9.0
+# An owner must read the table at least this often.
+MAX_READ_INTERVAL_S = 9.0
 
 
 class Timers:
-    """Timers that fire when they are told to."""
+    """Runs timers when a test calls `fire`."""
 
     def __init__(self):
         self.now = 100.0
@@ -34,16 +34,16 @@
 
 
 class Client:
-    """A store's client whose calls are answered by the test."""
+    """Holds a store client whose calls the test answers."""
 
     def __init__(self):
         self.timers = Timers()
         self.calls = []
-        self.read = []
+        self.read_times = []
         self.store = store.Store(None, self.timers, "127.0.0.1:1")
         self.store.call = self._call
         self.store.watch(
-            lambda rows, revision, as_of: self.read.append(as_of),
+            lambda rows, revision, as_of: self.read_times.append(as_of),
             lambda problem: None,
         )
         self.answer()
@@ -75,22 +75,20 @@
 
 
 @pytest.mark.parametrize("pause", [0.5, 4.0, 20.0])
-def test_changes_are_gathered_and_the_table_is_still_read_in_time(
-    client, pause
-):
+def test_a_pause_after_changes_shortens_the_next_poll(client, pause):
     client.store.set_pause(pause)
     client.answer(rows=1)
-    last = client.timers.now
+    read_at = client.timers.now
     client.timers.fire()
-    assert client.timers.now - last == pytest.approx(min(pause, 8.0))
-    assert client.timers.now + client.wait_s - last <= LONGEST_S
-    # Nothing has changed meanwhile: the next poll waits its whole time.
+    assert client.timers.now - read_at == pytest.approx(min(pause, 8.0))
+    assert client.timers.now + client.wait_s - read_at <= MAX_READ_INTERVAL_S
+    # Without changes, the next poll has no pause before it and full length.
     client.answer()
     client.timers.fire()
     assert client.wait_s == 8.0
 
 
-def test_a_hurried_poll_leaves_out_the_pause(client):
+def test_skip_pause_polls_at_once(client):
     client.store.set_pause(4.0)
     client.answer(rows=1)
     client.store.skip_pause()
@@ -98,9 +96,9 @@
     assert client.timers.now == 100.0
 
 
-def test_a_failed_poll_is_tried_again(client):
+def test_a_failed_poll_is_repeated(client):
     failure = exchanges.Failure(exchanges.Cause.CLOSED, True)
     client.calls[-1][2](result.Failure(failure))
-    before = len(client.calls)
+    calls_before = len(client.calls)
     client.timers.fire()
-    assert len(client.calls) == before + 1
+    assert len(client.calls) == calls_before + 1
--- a/tests/processes/test_daemon.py
+++ b/tests/processes/test_daemon.py
@@ -1,4 +1,4 @@
-"""Real processes: the whole path, bad input, and clean ends."""
+"""Tests daemons as real processes: requests, bad input, and shutdown."""
 
 import json
 import signal
@@ -18,26 +18,26 @@
 
 
 @pytest.fixture(scope="module")
-def running(tmp_path_factory):
-    found = processes.small_cluster(
+def live_cluster(tmp_path_factory):
+    started = processes.small_cluster(
         tmp_path_factory.mktemp("cluster"),
         body=BODY_LIMIT,
         answer=30_000,
         patience=500,
     )
-    yield found
-    found.stop()
+    yield started
+    started.stop()
 
 
-def works(running):
+def is_serving(live_cluster):
     status, verdict, data = callers.ask(
-        running.places[0], "GET", "/v1/seats/browse?key=still-works"
+        live_cluster.places[0], "GET", "/v1/seats/browse?key=still-works"
     )
     return status == 200 and json.loads(data)["key"] == "still-works"
 
 
-def test_any_daemon_answers_for_any_key(running):
-    for index, place in enumerate(running.places):
+def test_any_daemon_answers_for_any_key(live_cluster):
+    for index, place in enumerate(live_cluster.places):
         for service in ("seats", "payments"):
             key = f"hall {index} ghế"
             path = f"/v1/{service}/x?key=" + "hall%20{}%20gh%E1%BA%BF"
@@ -50,22 +50,22 @@
             assert answer["target"].startswith(service)
 
 
-def test_all_daemons_send_a_key_to_the_same_target(running):
+def test_all_daemons_send_a_key_to_the_same_target(live_cluster):
     targets = {
         json.loads(callers.ask(place, "GET", "/v1/seats/x?key=one")[2])[
             "target"
         ]
-        for place in running.places
+        for place in live_cluster.places
     }
     assert len(targets) == 1
 
 
-def test_a_resent_payment_runs_once_and_gets_the_same_answer(running):
+def test_a_resent_payment_runs_once_and_gets_the_same_answer(live_cluster):
     request = f"{int(time.time() * 1000)}-fee"
     path = "/v1/payments/pay?key=family-1"
     first, second = (
         callers.ask(
-            running.places[entry],
+            live_cluster.places[entry],
             "POST",
             path,
             b"fee",
@@ -76,11 +76,11 @@
     )
     assert first[:2] == (200, "answered")
     assert second == first
-    ran = [run for run in running.runs() if run.request == request]
-    assert len(ran) == 1
+    runs = [run for run in live_cluster.runs() if run.request == request]
+    assert len(runs) == 1
 
 
-BAD = [
+BAD_REQUESTS = [
     ("/v1/nothing/x?key=a", {}, 404, "unknown-service"),
     ("/v1/seats/x", {}, 400, "bad-request"),
     ("/v1/seats/x?key=" + "k" * 513, {}, 400, "bad-request"),
@@ -94,26 +94,26 @@
 ]
 
 
-@pytest.mark.parametrize(("path", "headers", "status", "reason"), BAD)
-def test_bad_input_gets_one_clear_refusal(
-    running, path, headers, status, reason
+@pytest.mark.parametrize(("path", "headers", "status", "reason"), BAD_REQUESTS)
+def test_bad_input_is_refused_with_a_reason(
+    live_cluster, path, headers, status, reason
 ):
-    found = callers.ask(running.places[1], "GET", path, **headers)
-    assert found[:2] == (status, "not-run")
-    assert json.loads(found[2])["reason"] == reason
-    assert works(running)
+    response = callers.ask(live_cluster.places[1], "GET", path, **headers)
+    assert response[:2] == (status, "not-run")
+    assert json.loads(response[2])["reason"] == reason
+    assert is_serving(live_cluster)
 
 
 @pytest.mark.parametrize("size", [BODY_LIMIT + 1, 10 * BODY_LIMIT])
-def test_a_body_over_the_limit_is_refused(running, size):
-    found = callers.ask(
-        running.places[1], "POST", "/v1/seats/x?key=a", b"x" * size
+def test_a_body_over_the_limit_is_refused(live_cluster, size):
+    response = callers.ask(
+        live_cluster.places[1], "POST", "/v1/seats/x?key=a", b"x" * size
     )
-    assert found[:2] == (413, "not-run")
-    assert works(running)
+    assert response[:2] == (413, "not-run")
+    assert is_serving(live_cluster)
 
 
-RAW = [
+MALFORMED_HTTP = [
     b"NONSENSE\r\n\r\n",
     b"GET /v1/seats/x?key=a HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n",
     b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03",
@@ -122,22 +122,22 @@
 ]
 
 
-@pytest.mark.parametrize("text", RAW)
-def test_what_is_no_http_request_harms_nobody(running, text):
-    host, _, port = running.places[1].http.rpartition(":")
+@pytest.mark.parametrize("text", MALFORMED_HTTP)
+def test_malformed_http_does_not_disturb_the_daemon(live_cluster, text):
+    host, _, port = live_cluster.places[1].http.rpartition(":")
     with socket.create_connection(
         (host, int(port)), timeout=callers.WAIT_S
     ) as sock:
         sock.sendall(text)
         answer = sock.recv(200)
     assert answer == b"" or answer.split()[1].startswith(b"4")
-    assert works(running)
+    assert is_serving(live_cluster)
 
 
 @pytest.mark.parametrize("frame", [b"", b"\xc1 nonsense", b"\x94" * 50])
-def test_malformed_peer_frames_are_logged_and_dropped(running, frame):
-    place = running.places[1]
-    log = running.folder / f"{place.name}.log"
+def test_malformed_peer_frames_are_logged_and_dropped(live_cluster, frame):
+    place = live_cluster.places[1]
+    log = live_cluster.folder / f"{place.name}.log"
     before = log.read_text().count("event=peer_frame_malformed")
     with zmq.Context() as context, context.socket(zmq.PUSH) as push:
         push.linger = 2000
@@ -146,12 +146,12 @@
         callers.eventually(
             lambda: log.read_text().count("event=peer_frame_malformed") > before
         )
-    assert works(running)
+    assert is_serving(live_cluster)
 
 
-def test_messages_of_another_deployment_are_dropped(running):
-    place = running.places[1]
-    log = running.folder / f"{place.name}.log"
+def test_messages_of_another_deployment_are_logged_and_dropped(live_cluster):
+    place = live_cluster.places[1]
+    log = live_cluster.folder / f"{place.name}.log"
     frame = messages.encode(
         messages.Envelope(
             "elsewhere", "x", "127.0.0.1:1", messages.Cancel("leg")
@@ -166,7 +166,7 @@
                 in log.read_text()
             )
         )
-    assert works(running)
+    assert is_serving(live_cluster)
 
 
 @pytest.mark.parametrize(
@@ -176,24 +176,27 @@
         ({"oversize": 60_000}, "answer-too-large"),
     ],
 )
-def test_an_answer_that_is_not_whole_may_have_run(running, fault, reason):
-    place = callers.owner_of(running, "payments", "k1")
+def test_a_request_with_an_incomplete_answer_may_have_run(
+    live_cluster, fault, reason
+):
+    place = callers.owner_of(live_cluster, "payments", "k1")
     cluster.call(place.target, "POST", "/faults", fault)
     try:
-        found = callers.ask(
-            running.places[0], "POST", "/v1/payments/pay?key=k1"
+        response = callers.ask(
+            live_cluster.places[0], "POST", "/v1/payments/pay?key=k1"
         )
     finally:
-        good = {"truncate": False, "oversize": 0}
-        cluster.call(place.target, "POST", "/faults", good)
-    assert found[:2] == (504, "may-have-run")
-    assert json.loads(found[2])["reason"] == reason
+        no_faults = {"truncate": False, "oversize": 0}
+        cluster.call(place.target, "POST", "/faults", no_faults)
+    assert response[:2] == (504, "may-have-run")
+    assert json.loads(response[2])["reason"] == reason
     assert (
-        callers.ask(running.places[0], "GET", "/v1/payments/x?key=k1")[0] == 200
+        callers.ask(live_cluster.places[0], "GET", "/v1/payments/x?key=k1")[0]
+        == 200
     )
 
 
-def test_a_wrong_announcement_is_refused(running):
+def test_an_announcement_of_another_service_is_refused(live_cluster):
     body = json.dumps(
         {
             "name": "t",
@@ -203,20 +206,22 @@
             "connections": 1,
         }
     )
-    found = callers.ask(running.places[0], "POST", "/announce", body.encode())
-    assert found[0] == 400
-    assert b"service other: expected seats" in found[2]
+    response = callers.ask(
+        live_cluster.places[0], "POST", "/announce", body.encode()
+    )
+    assert response[0] == 400
+    assert b"service other: expected seats" in response[2]
 
 
-def test_metrics_are_served(running):
-    status, _, text = callers.ask(running.places[0], "GET", "/metrics")
+def test_metrics_are_served(live_cluster):
+    status, _, text = callers.ask(live_cluster.places[0], "GET", "/metrics")
     assert status == 200
     assert b"tamarackgap_owned_slots" in text
 
 
-def test_a_decision_line_has_its_inputs(running):
-    callers.ask(running.places[0], "GET", "/v1/seats/x?key=logged-key")
-    log = running.folder / f"{running.places[0].name}.log"
+def test_the_log_line_of_a_request_has_its_fields(live_cluster):
+    callers.ask(live_cluster.places[0], "GET", "/v1/seats/x?key=logged-key")
+    log = live_cluster.folder / f"{live_cluster.places[0].name}.log"
     lines = log.read_text().splitlines()
     line = next(
         line
@@ -227,14 +232,14 @@
         assert f"{name}=" in line
 
 
-def test_operators_commands_work_on_running_daemons(running):
-    daemon = ("--daemon", running.places[0].http)
-    table = ("--table", running.table)
+def test_operator_commands_work_on_running_daemons(live_cluster):
+    daemon = ("--daemon", live_cluster.places[0].http)
+    table = ("--table", live_cluster.table)
 
     def run(*words):
-        found = testing.CliRunner().invoke(cmdline.cli, list(words))
-        assert found.exit_code == 0, found.output
-        return found.stdout
+        invocation = testing.CliRunner().invoke(cmdline.cli, list(words))
+        assert invocation.exit_code == 0, invocation.output
+        return invocation.stdout
 
     assert "seats-0" in run("owners", *daemon)
     assert "accepting: True" in run("status", *daemon)
@@ -244,37 +249,37 @@
     assert "in force at 6 of 6 daemons" in edited
 
 
-def test_a_killed_daemons_keys_are_served_and_it_comes_back(running):
-    place = callers.owner_of(running, "seats", "k2")
+def test_keys_of_a_killed_daemon_are_served_and_it_rejoins(live_cluster):
+    place = callers.owner_of(live_cluster, "seats", "k2")
     place.daemon_process.send_signal(signal.SIGKILL)
     place.daemon_process.wait()
-    others = [other for other in running.places if other is not place]
-    found = callers.ask(
+    others = [other for other in live_cluster.places if other is not place]
+    response = callers.ask(
         others[0], "GET", "/v1/seats/x?key=k2", X_Deadline_Ms="20000"
     )
-    assert found[0] == 200
-    running.start_daemon(place)
-    assert running.ready(processes.READY_S) is not None
+    assert response[0] == 200
+    live_cluster.start_daemon(place)
+    assert live_cluster.ready(processes.READY_S) is not None
 
 
-def test_a_draining_daemon_cuts_nothing_and_exits_with_0(running):
-    place = callers.owner_of(running, "payments", "k3")
-    others = [other for other in running.places if other is not place]
+def test_a_draining_daemon_drops_no_request_and_exits_with_0(live_cluster):
+    place = callers.owner_of(live_cluster, "payments", "k3")
+    others = [other for other in live_cluster.places if other is not place]
     place.daemon_process.send_signal(signal.SIGTERM)
     for number in range(20):
         path = f"/v1/payments/pay?key=k{number}"
         assert callers.ask(others[number % 5], "POST", path)[0] == 200
     assert place.daemon_process.wait(timeout=callers.WAIT_S) == 0
-    out = (running.folder / f"daemon-{place.name}.out").read_text()
+    out = (live_cluster.folder / f"daemon-{place.name}.out").read_text()
     assert "leaked" not in out
-    running.start_daemon(place)
-    assert running.ready(processes.READY_S) is not None
+    live_cluster.start_daemon(place)
+    assert live_cluster.ready(processes.READY_S) is not None
 
 
-def test_an_address_in_use_is_said_in_one_line(running):
-    place = running.places[0]
-    process = running.run_again(place)
+def test_an_address_in_use_is_reported_without_traceback(live_cluster):
+    place = live_cluster.places[0]
+    process = live_cluster.run_again(place)
     assert process.wait(timeout=callers.WAIT_S) == 1
-    out = (running.folder / f"again-{place.name}.out").read_text()
+    out = (live_cluster.folder / f"again-{place.name}.out").read_text()
     assert "cannot start" in out
     assert "Traceback" not in out
--- a/tests/processes/test_import.py
+++ b/tests/processes/test_import.py
@@ -1,13 +1,18 @@
 import subprocess
 import sys
 
-# What only the product's own interface needs: it costs each daemon of the
-# platform a fifth of its start and megabytes of memory.
-NEEDLESS = ("circuits.web", "tamarackgap.requests.web", "click", "numpy")
+# Only the daemon with this project's own HTTP interface needs these modules. In
+# a router they would cost a fifth of its start time and megabytes of memory.
+UNNEEDED_MODULES = (
+    "circuits.web",
+    "tamarackgap.requests.web",
+    "click",
+    "numpy",
+)
 
 
-def test_a_router_imports_nothing_of_the_other_interface():
-    listed = subprocess.run(
+def test_a_router_imports_no_modules_of_the_other_daemon():
+    process = subprocess.run(
         [
             sys.executable,
             "-c",
@@ -17,4 +22,4 @@
         check=True,
         text=True,
     )
-    assert not set(NEEDLESS) & set(listed.stdout.split())
+    assert not set(UNNEEDED_MODULES) & set(process.stdout.split())
