--- a/tamarackgap/platform/names.py
+++ b/tamarackgap/platform/names.py
@@ -20,6 +20,7 @@
 CALLER_SERVICE = b"x-tamarackgap-caller-service"
 # An integer from 0 to 65535: the position of a key, not the key itself.
 SHARD_KEY = b"x-tamarackgap-shard-key"
+# Text from the server that released a range of keys for their next holder.
 HANDOVER = b"x-tamarackgap-handover"
 
 INSTANCES = "/-/instances/"
@@ -34,5 +35,5 @@
 # Table and key of the operator's newest configuration.
 OPERATOR_TABLE = "op"
 OPERATOR_KEY = "config"
-# Table of this system's own rows: leases, policies and their history.
+# Table of this system's own rows.
 OWN_TABLE = "tamarackgap"
--- a/tamarackgap/platform/servers.py
+++ b/tamarackgap/platform/servers.py
@@ -40,7 +40,7 @@
 def decode_announcement(
     incoming: door.Incoming,
 ) -> localtarget.Announcement | None:
-    """Returns a server's announcement, or None if the request is none."""
+    """Returns a server's announcement, or None if there is no valid one."""
     path = incoming.target.partition("?")[0]
     if incoming.method != "POST" or not path.startswith(names.INSTANCES):
         return None
--- a/tamarackgap/processes/peersync.py
+++ b/tamarackgap/processes/peersync.py
@@ -101,7 +101,7 @@
                 self._dispatcher.update_status(
                     envelope.sender, envelope.address, status
                 )
-                self._request_newer_table(status.version, envelope.address)
+                self._request_table_if_newer(status.version, envelope.address)
             case calls.TargetCrash() as crash:
                 self._record_crash(crash)
             case calls.ContentCleared(fingerprint=fingerprint):
@@ -195,7 +195,7 @@
                     "content_barred", content=fingerprint, s=crashes.BAR_TIME_S
                 )
 
-    def _request_newer_table(self, version: int, address: str) -> None:
+    def _request_table_if_newer(self, version: int, address: str) -> None:
         """Requests a newer route table: the store may be unreachable here."""
         table = self._route_table()
         current = table.version if table is not None else 0
