--- a/tamarackgap/ownership/__init__.py
+++ b/tamarackgap/ownership/__init__.py
@@ -1,1 +1,1 @@
-"""The protocol by which each key has at most one owner, without I/O."""
+"""The protocol that gives each key at most one owner, without any I/O."""
--- a/tamarackgap/ownership/lease.py
+++ b/tamarackgap/ownership/lease.py
@@ -1,4 +1,4 @@
-"""The owner's side of a witnessed lease."""
+"""The owner's side of a lease that is granted by witnesses."""
 
 import math
 
@@ -6,15 +6,16 @@
 
 
 def majority(count: int) -> int:
-    """Returns the smallest number that is more than half of `count`."""
+    """Returns the smallest integer that is more than half of `count`."""
     return count // 2 + 1
 
 
 class EpochGrants:
-    """Grants that an owner holds for one epoch.
+    """The grants that an owner holds for one epoch, one per witness.
 
-    A grant is valid until the *sending* of its renewal plus the lease's
-    length, on the owner's own clock.
+    A grant is valid for the lease length from the time at which the owner
+    *sent* the renewal, on the owner's clock. The witness counts from its
+    later receipt, so the owner's grant never outlasts the witness's promise.
     """
 
     def __init__(
@@ -24,23 +25,24 @@
         length: types.Seconds,
         since: types.Seconds,
     ) -> None:
-        """Creates the grants of an epoch, with none given yet.
+        """Creates the state of an epoch for which no witness has granted yet.
 
         Args:
             epoch: The epoch.
             witnesses: Incarnations of the witnesses.
-            length: Length of a grant.
-            since: Now, from which silence of a witness is counted.
+            length: Time for which a grant is valid, seconds.
+            since: Current time, seconds; a witness that never answers counts
+                as silent from here on.
         """
         self._epoch = epoch
         self._length = length
         self._expiries = dict.fromkeys(witnesses, -math.inf)
-        self._heard = dict.fromkeys(witnesses, since)
+        self._last_answers = dict.fromkeys(witnesses, since)
         self._states = dict.fromkeys(witnesses, types.WitnessState.OPEN)
 
     @property
     def epoch(self) -> types.Epoch:
-        """The epoch."""
+        """The epoch that the grants are for."""
         return self._epoch
 
     @property
@@ -50,7 +52,7 @@
 
     @property
     def quorum(self) -> int:
-        """How many witnesses are a majority."""
+        """Number of witnesses that form a majority."""
         return majority(len(self._expiries))
 
     def record_answer(
@@ -60,57 +62,71 @@
         now: types.Seconds,
         sent: types.Seconds | None = None,
     ) -> None:
-        """Takes a witness's answer in.
+        """Records a witness's answer; answers of others are ignored.
 
         Args:
-            witness: Who answered.
+            witness: The incarnation that answered.
             state: The witness's state for this epoch.
-            now: Time of receipt.
-            sent: Time when the renewal was sent, where it was granted.
+            now: Time of receipt, seconds.
+            sent: Time at which the renewal was sent, seconds, or None if the
+                answer grants nothing.
         """
         if witness not in self._expiries:
             return
-        self._heard[witness] = now
+        self._last_answers[witness] = now
         self._states[witness] = state
         if sent is not None:
             expiry = sent + self._length
             self._expiries[witness] = max(self._expiries[witness], expiry)
 
     def valid_until(self) -> float:
-        """Returns when fewer than a majority of grants will be valid."""
+        """Returns the time up to which a majority of grants is valid, seconds.
+
+        It is minus infinity while a majority has never granted.
+        """
         if not self._expiries:
             return -math.inf
         ranked = sorted(self._expiries.values(), reverse=True)
         return ranked[self.quorum - 1]
 
     def count(self, *states: types.WitnessState) -> int:
-        """Returns how many witnesses last said one of `states`."""
+        """Returns how many witnesses last reported one of `states`."""
         return sum(state in states for state in self._states.values())
 
     def has_majority(self, *states: types.WitnessState) -> bool:
-        """Returns whether a majority last said one of `states`."""
+        """Returns whether a majority last reported one of `states`."""
         return bool(self._states) and self.count(*states) >= self.quorum
 
     def silent_witnesses(
         self, now: types.Seconds, after: types.Seconds
     ) -> set[str]:
-        """Returns the witnesses that have not answered for `after`."""
+        """Returns the witnesses whose last answer is older than `after`.
+
+        Args:
+            now: Current time, seconds.
+            after: Longest time without an answer, seconds.
+        """
         return {
             witness
-            for witness, heard in self._heard.items()
-            if now - heard > after
+            for witness, answered_at in self._last_answers.items()
+            if now - answered_at > after
         }
 
     def has_recent_majority(
         self, now: types.Seconds, within: types.Seconds
     ) -> bool:
-        """Returns whether a majority has answered `within` the last time."""
+        """Returns whether a majority has answered lately.
+
+        Args:
+            now: Current time, seconds.
+            within: Largest age of an answer that counts, seconds.
+        """
         silent = self.silent_witnesses(now, within)
-        return len(self._heard) - len(silent) >= self.quorum
+        return len(self._last_answers) - len(silent) >= self.quorum
 
     def refusing_witnesses(self) -> set[str]:
-        """Returns the witnesses that will renew no more."""
-        stopped = (
+        """Returns the witnesses that will not renew this epoch any more."""
+        refusing = (
             types.WitnessState.SEALED,
             types.WitnessState.CLOSED,
             types.WitnessState.SUPERSEDED,
@@ -118,41 +134,42 @@
         return {
             witness
             for witness, state in self._states.items()
-            if state in stopped
+            if state in refusing
         }
 
 
 class Lease:
-    """An owner's lease: its epoch, and the next one while it is prepared.
+    """An owner's lease: its current epoch, and the next one in preparation.
 
-    While a write that begins the next epoch has an unknown outcome, the
-    lease holds only as long as both epochs' grants do. So it is safe
-    whichever of the two the table shows to a successor.
+    While it is unknown whether the write that begins the next epoch has been
+    committed, the lease is valid only as long as the grants of both epochs.
+    It has then ended for a successor too, whichever epoch that successor
+    reads from the table.
     """
 
     def __init__(self, grants: EpochGrants) -> None:
-        """Creates a lease under `grants`."""
+        """Creates a lease whose current epoch is that of `grants`."""
         self._current = grants
         self._next: EpochGrants | None = None
         self._undecided = False
 
     @property
     def current(self) -> EpochGrants:
-        """Grants of the epoch that the table shows."""
+        """Grants of the epoch that is recorded in the table."""
         return self._current
 
     @property
     def next(self) -> EpochGrants | None:
-        """Grants of the epoch that is being prepared, if any."""
+        """Grants of the epoch in preparation, or None."""
         return self._next
 
     @property
     def undecided(self) -> bool:
-        """Whether a write that begins the next epoch may have landed."""
+        """Whether the write that begins the next epoch may be committed."""
         return self._undecided
 
     def epochs(self) -> list[EpochGrants]:
-        """Returns all grants that have to be renewed."""
+        """Returns the grants of all epochs that have to be renewed."""
         if self._next is None:
             return [self._current]
         return [self._current, self._next]
@@ -165,14 +182,15 @@
         return until
 
     def prepare(self, grants: EpochGrants) -> None:
-        """Begins to collect grants of the next epoch."""
+        """Starts collecting grants of the next epoch."""
         self._next = grants
 
     def is_prepared(self, now: types.Seconds) -> bool:
         """Returns whether the write that begins the next epoch may be sent.
 
-        The present epoch has to be retired at a majority first, so that no
-        successor can end it unseen by the table.
+        A majority of witnesses has to retire the current epoch first. From
+        then on a successor can end it only by a write to the table, which
+        conflicts with this one.
         """
         if self._next is None or self._next.valid_until() <= now:
             return False
@@ -181,16 +199,16 @@
         )
 
     def begin_write(self) -> None:
-        """Notes that the write that begins the next epoch is being sent."""
+        """Records that the write that begins the next epoch is being sent."""
         self._undecided = True
 
     def promote(self) -> None:
-        """Makes the next epoch the current one: the table shows it."""
+        """Makes the next epoch current, once it is recorded in the table."""
         if self._next is not None:
             self._current = self._next
         self.abandon()
 
     def abandon(self) -> None:
-        """Drops the next epoch: the table will never show it."""
+        """Drops the next epoch, once it can't be committed any more."""
         self._next = None
         self._undecided = False
--- a/tamarackgap/ownership/renewal.py
+++ b/tamarackgap/ownership/renewal.py
@@ -1,4 +1,4 @@
-"""An owner's renewals with its witnesses, and what they answer."""
+"""Renews an owner's lease with its witnesses."""
 
 from tamarackgap import types
 from tamarackgap.ownership import effects, lease
@@ -6,13 +6,14 @@
 from tamarackgap.placement import records
 
 _RENEWALS_PER_LEASE = 4
-# Without answers of a majority for so many renewals, an owner only probes.
-_HEARING_INTERVALS = 1.9
-_STOPPED = (types.WitnessState.SEALED, types.WitnessState.CLOSED)
+# If no majority has answered for this many renewal intervals, the owner only
+# sends probes.
+_MAX_SILENT_INTERVALS = 1.9
+_ENDED_STATES = (types.WitnessState.SEALED, types.WitnessState.CLOSED)
 
 
 class LeaseRenewer:
-    """Keeps one incarnation's lease up."""
+    """Keeps the lease of one incarnation renewed."""
 
     def __init__(
         self,
@@ -24,9 +25,9 @@
         """Creates a lease without witnesses, which is not valid.
 
         Args:
-            length: Length of a grant, seconds.
-            view: The rows of the table known here.
-            outbox: Takes messages.
+            length: Time for which a grant is valid, seconds.
+            view: This daemon's copy of the table.
+            outbox: Collects the messages to send.
             now: Monotonic time, seconds.
         """
         self._length = length
@@ -34,63 +35,68 @@
         self._view = view
         self._outbox = outbox
         self._due = now
-        self._lease = lease.Lease(self._grants(0, (), now))
+        self._lease = lease.Lease(self._new_grants(0, (), now))
         # Largest delay of a renewal so far, seconds.
         self.lateness = 0.0
 
     @property
     def own_lease(self) -> lease.Lease:
-        """The lease."""
+        """The lease that is kept renewed."""
         return self._lease
 
     def prepare(self, witnesses: tuple[str, ...], now: float) -> None:
-        """Retires the present epoch and asks for grants of the next one."""
+        """Retires the current epoch and asks for grants of the next one.
+
+        Args:
+            witnesses: Incarnations of the next epoch's witnesses.
+            now: Monotonic time, seconds.
+        """
         current = self._lease.current
-        grants = self._grants(current.epoch + 1, witnesses, now)
+        grants = self._new_grants(current.epoch + 1, witnesses, now)
         self._lease.prepare(grants)
         for name in current.witnesses:
             self._outbox.send(name, messages.Retire(name, current.epoch))
-        self._ask(grants, now)
+        self._send_renewals(grants, now)
 
     def renew(self, now: float) -> None:
-        """Sends renewals, if they are due."""
+        """Sends renewals of all epochs, if they are due."""
         if now < self._due:
             return
         if self._lease.current.epoch:
             self.lateness = max(self.lateness, now - self._due)
         self._due = now + self._interval
         for grants in self._lease.epochs():
-            self._ask(grants, now)
+            self._send_renewals(grants, now)
 
     def granted(
         self, sender: str, message: messages.RenewReply, now: float
     ) -> None:
-        """Takes a witness's answer to a renewal in."""
+        """Records a witness's answer to a renewal or probe."""
         for grants in self._lease.epochs():
             if grants.epoch != message.epoch:
                 continue
-            deaf = not self._hears(grants, now)
+            was_unreachable = not self._is_majority_reachable(grants, now)
             sent = types.Seconds(message.sent) if message.granted else None
             grants.record_answer(
                 sender, message.state, types.Seconds(now), sent
             )
-            if deaf and self._hears(grants, now):
-                # Its probes are answered again: it renews at once.
+            if was_unreachable and self._is_majority_reachable(grants, now):
+                # A majority answers the probes again, so renew at once.
                 self._due = now
 
     def retired(
         self, sender: str, message: messages.RetireReply, now: float
     ) -> None:
-        """Takes a witness's answer to a retirement in."""
+        """Records a witness's answer to a retirement."""
         for grants in self._lease.epochs():
             if grants.epoch == message.epoch:
                 grants.record_answer(sender, message.state, types.Seconds(now))
 
     def is_ended(self) -> bool:
-        """Returns whether a majority will never renew again."""
-        return self._lease.current.has_majority(*_STOPPED)
+        """Returns whether a majority will never renew the current epoch."""
+        return self._lease.current.has_majority(*_ENDED_STATES)
 
-    def _grants(
+    def _new_grants(
         self, epoch: int, witnesses: tuple[str, ...], now: float
     ) -> lease.EpochGrants:
         return lease.EpochGrants(
@@ -100,16 +106,19 @@
             types.Seconds(now),
         )
 
-    def _ask(self, grants: lease.EpochGrants, now: float) -> None:
-        # Grants that are not heard of would only delay a successor.
-        probe = not self._hears(grants, now)
+    def _send_renewals(self, grants: lease.EpochGrants, now: float) -> None:
+        # A grant whose answer does not reach the owner only makes its
+        # successor wait longer, so the owner then asks for answers alone.
+        probe = not self._is_majority_reachable(grants, now)
         revision = self._view.cursor
         for name in grants.witnesses:
             renewal = messages.Renew(name, grants.epoch, now, revision, probe)
             self._outbox.send(name, renewal)
 
-    def _hears(self, grants: lease.EpochGrants, now: float) -> bool:
-        within = self._interval * _HEARING_INTERVALS
+    def _is_majority_reachable(
+        self, grants: lease.EpochGrants, now: float
+    ) -> bool:
+        within = self._interval * _MAX_SILENT_INTERVALS
         return grants.has_recent_majority(
             types.Seconds(now), types.Seconds(within)
         )
--- a/tamarackgap/ownership/takeover.py
+++ b/tamarackgap/ownership/takeover.py
@@ -1,4 +1,4 @@
-"""A successor's collection of seals."""
+"""Collects the seals with which a successor ends an owner's epoch."""
 
 import enum
 
@@ -7,19 +7,24 @@
 from tamarackgap.peers import messages
 from tamarackgap.placement import records
 
-_COUNTED = frozenset({types.WitnessState.SEALED, types.WitnessState.CLOSED})
+# States of a witness that will not renew the epoch any more.
+_STOPPED_STATES = frozenset(
+    {types.WitnessState.SEALED, types.WitnessState.CLOSED}
+)
 
 
 class Mode(enum.Enum):
-    """What ends the old epoch."""
+    """How the owner's epoch ends."""
 
-    # Not enough witnesses have stopped renewing.
+    # Fewer than a majority of witnesses have stopped renewing.
     PENDING = "pending"
-    # A majority sealed it: the successor serves, and records it later.
+    # A majority has sealed it: the successor serves at once, and records the
+    # slots in the table later.
     SEALED = "sealed"
-    # Some had retired it: only a write to the table ends it.
+    # A majority has stopped renewing, but some had retired the epoch before:
+    # only a write to the table ends it.
     TABLE = "table"
-    # The owner has moved on to a later epoch.
+    # The owner has begun a later epoch.
     SUPERSEDED = "superseded"
 
 
@@ -35,79 +40,89 @@
         """Creates an attempt without any seals.
 
         Args:
-            record: The owner's record, as this successor knows it.
-            drift: Largest relative error between two VMs' clocks.
-            now: Time of the attempt's beginning.
+            record: The owner's record in the successor's copy of the table.
+            drift: Largest relative error between the clocks of two VMs.
+            now: Monotonic time, seconds.
         """
         self._record = record
+        # Seconds on this successor's clock after which a grant has expired.
         self._length = record.lease_ms / 1000 * (1 + drift)
         self._linger = record.linger_ms / 1000
-        self._over_at: dict[str, float] = {}
+        # When the last grant of each stopped witness expires, seconds.
+        self._expiries: dict[str, float] = {}
         self._sealed: set[str] = set()
         self._superseded = False
         self.begun = now
         self.asked_at = float("-inf")
         self.suspected_at = now
-        # Whether the epoch is known to be over and its slots were taken.
+        # Whether the epoch is known to have ended, so that its slots may be
+        # claimed.
         self.done = False
 
     @property
     def record(self) -> records.LeaseRecord:
-        """The record whose epoch is to end."""
+        """The lease record whose epoch is to end."""
         return self._record
 
     def record_answer(
         self, witness: str, answer: messages.SealReply, now: types.Seconds
     ) -> None:
-        """Takes a witness's answer in.
+        """Records a witness's answer; answers of others are ignored.
 
-        The seal was given before its answer came, so counting the age from
-        the receipt only makes the wait longer.
+        The answer's age of the last grant is counted from the receipt. The
+        grant is older than that by the answer's time on the way, so the wait
+        can only become longer than needed.
+
+        Args:
+            witness: The incarnation that answered.
+            answer: Its answer.
+            now: Time of receipt, seconds.
         """
         if witness not in self._record.witnesses:
             return
         if answer.state is types.WitnessState.SUPERSEDED:
             self._superseded = True
-        if answer.state not in _COUNTED:
+        if answer.state not in _STOPPED_STATES:
             return
         wait = self._length if answer.age >= 0 else 0.0
-        over_at = now + max(0.0, wait - max(0.0, answer.age))
-        known = self._over_at.get(witness, over_at)
-        self._over_at[witness] = min(known, over_at)
+        expiry = now + max(0.0, wait - max(0.0, answer.age))
+        known = self._expiries.get(witness, expiry)
+        self._expiries[witness] = min(known, expiry)
         if answer.state is types.WitnessState.SEALED:
             self._sealed.add(witness)
 
     def mode(self) -> Mode:
-        """Returns what ends the epoch, as the answers so far show."""
+        """Returns how the epoch ends, as far as the answers show."""
         quorum = lease.majority(len(self._record.witnesses))
         if self._superseded:
             return Mode.SUPERSEDED
         if len(self._sealed) >= quorum:
             return Mode.SEALED
-        if len(self._over_at) >= quorum:
+        if len(self._expiries) >= quorum:
             return Mode.TABLE
         return Mode.PENDING
 
     def over_at(self) -> float:
-        """Returns when the old lease is over on this successor's clock.
+        """Returns when the lease has ended, seconds on the successor's clock.
 
-        Any majority of stopped witnesses meets the owner's majority, so the
-        one that is over first counts. The last run at the target may go on
-        for the record's linger.
+        Any majority of stopped witnesses shares a member with each majority
+        by which the owner may hold a lease, so the majority whose grants
+        expire first decides. The last request that the target executes may
+        run on for the record's linger.
         """
         quorum = lease.majority(len(self._record.witnesses))
-        chosen = self._over_at
+        expiries = self._expiries
         if self.mode() is Mode.SEALED:
-            chosen = {
-                witness: self._over_at[witness] for witness in self._sealed
+            expiries = {
+                witness: self._expiries[witness] for witness in self._sealed
             }
-        ranked = sorted(chosen.values())
+        ranked = sorted(expiries.values())
         return ranked[quorum - 1] + self._linger
 
     def unanswered(self) -> list[str]:
-        """Returns the witnesses that have not stopped renewing."""
+        """Returns the witnesses that are not known to have stopped renewing."""
         return [
             witness
             for witness in self._record.witnesses
-            if witness not in self._over_at
+            if witness not in self._expiries
         ]
--- a/tamarackgap/ownership/witness.py
+++ b/tamarackgap/ownership/witness.py
@@ -1,7 +1,8 @@
 """What a daemon promises as a witness of other daemons' leases.
 
-All state is volatile. A process that restarts is a new incarnation, which
-no record names, so a promise is never forgotten: it ends with the process.
+All state is volatile. A process that restarts gets a new incarnation id,
+which no lease record names as a witness, so nobody can rely on a promise
+that the restart has lost.
 """
 
 import math
@@ -10,16 +11,20 @@
 
 from tamarackgap import types
 
-_STOPPED = frozenset({types.WitnessState.SEALED, types.WitnessState.CLOSED})
+# States of a witness that will not renew the epoch any more.
+_STOPPED_STATES = frozenset(
+    {types.WitnessState.SEALED, types.WitnessState.CLOSED}
+)
 
 
 class Entry(msgspec.Struct):
     """A witness's state for one owner's epoch.
 
     Attributes:
-        state: What the witness will still do.
-        granted_at: Time of the last grant, or None if there was none.
-        released: Whether the owner itself gave the epoch up.
+        state: Which requests the witness still accepts for the epoch.
+        granted_at: Time of the last grant, seconds, or None if there was
+            none.
+        released: Whether the owner itself has given the epoch up.
     """
 
     state: types.WitnessState = types.WitnessState.OPEN
@@ -27,36 +32,42 @@
     released: bool = False
 
     def age(self, now: types.Seconds) -> float:
-        """Returns seconds since the last grant; infinite if none counts."""
+        """Returns the age of the last grant, seconds.
+
+        It is infinite if there was no grant, or if the owner has given the
+        epoch up.
+        """
         if self.released or self.granted_at is None:
             return math.inf
         return now - self.granted_at
 
 
 class Suspicion(msgspec.Struct, frozen=True):
-    """An owner's epoch that is no longer renewed here."""
+    """An epoch that its owner has stopped renewing at this witness."""
 
     owner: types.Incarnation
     epoch: types.Epoch
 
 
 class Witness:
-    """The grants, seals and retirements that this incarnation has given."""
+    """The grants, seals and retirements that one incarnation has given."""
 
     def __init__(self, suspect_after: types.Seconds) -> None:
-        """Creates a witness that has promised nothing.
+        """Creates a witness that has granted nothing.
 
         Args:
-            suspect_after: Age of the last grant from which a seal is given.
+            suspect_after: Age of the last grant from which on the owner is
+                suspected and the epoch may be sealed, seconds.
         """
         self._suspect_after = suspect_after
         self._entries: dict[str, dict[int, Entry]] = {}
 
     def entry(self, owner: str, epoch: int) -> Entry | None:
-        """Returns the entry of an epoch, made if new; None if superseded.
+        """Returns the entry of an epoch, or None if a later epoch is known.
 
-        An owner prepares its next epoch while the last one still counts, so
-        the two highest are kept.
+        Creates the entry if the epoch is new. The two highest epochs of an
+        owner are kept, because it prepares the next one while the current
+        one is in use.
         """
         epochs = self._entries.setdefault(owner, {})
         if epoch in epochs:
@@ -74,22 +85,38 @@
         now: types.Seconds,
         probe: bool = False,
     ) -> types.WitnessState:
-        """Grants, if the returned state is OPEN or RETIRED.
+        """Renews a grant, unless the epoch has been sealed or closed.
+
+        A probe renews nothing. If it did, an owner that can send but not
+        receive would keep its grants fresh here: it would not serve, and no
+        successor would suspect it.
 
-        A probe is no renewal: the owner may not hear the answers, and would
-        stay unserved and unsuspected for ever.
+        Args:
+            owner: The incarnation that asks.
+            epoch: Its epoch.
+            now: Monotonic time, seconds.
+            probe: Whether the owner asks for an answer only.
+
+        Returns:
+            The state of the epoch; OPEN and RETIRED mean granted, unless
+            the request was a probe.
         """
         entry = self.entry(owner, epoch)
         if entry is None:
             return types.WitnessState.SUPERSEDED
-        if entry.state not in _STOPPED and not probe:
+        if entry.state not in _STOPPED_STATES and not probe:
             entry.granted_at = now
         return entry.state
 
     def seal(
         self, owner: str, epoch: int, now: types.Seconds
     ) -> tuple[types.WitnessState, float]:
-        """Stops renewing, unless the owner has renewed lately.
+        """Stops renewing an epoch, unless its last grant is recent.
+
+        Args:
+            owner: The incarnation whose epoch is to end.
+            epoch: The epoch.
+            now: Monotonic time, seconds.
 
         Returns:
             The state afterwards, and the age of the last grant in seconds.
@@ -106,7 +133,13 @@
         return entry.state, age
 
     def retire(self, owner: str, epoch: int) -> types.WitnessState:
-        """Lets the epoch end only by the table, unless it is sealed."""
+        """Retires an epoch: from now on only a write to the table ends it.
+
+        A sealed epoch stays sealed.
+
+        Returns:
+            The state afterwards.
+        """
         entry = self.entry(owner, epoch)
         if entry is None:
             return types.WitnessState.SUPERSEDED
@@ -115,16 +148,17 @@
         return entry.state
 
     def release(self, owner: str, epoch: int) -> None:
-        """Notes that the owner has given the epoch up."""
+        """Records that the owner has given the epoch up."""
         entry = self.entry(owner, epoch)
         if entry is not None:
             entry.released = True
 
     def suspicions(self, now: types.Seconds) -> list[Suspicion]:
-        """Returns the epochs whose last grant is old.
+        """Returns the epochs whose last grant is old or was given up.
 
-        Of an owner's two latest epochs only the table knows which counts:
-        the later one may have been prepared and never written.
+        Both latest epochs of an owner are listed. Only the table tells which
+        of them is in use: the later one may have been prepared and never
+        written.
         """
         return [
             Suspicion(types.Incarnation(owner), types.Epoch(epoch))
@@ -135,9 +169,10 @@
         ]
 
     def forget_suspicion(self, suspicion: Suspicion) -> None:
-        """Stops reporting an epoch whose record is gone from the table.
+        """Stops reporting an epoch whose record is closed or deleted.
 
-        The state itself stays: a paused owner may still ask for a renewal.
+        The entry stays, as CLOSED: an owner that was paused may still ask
+        for a renewal, and must not get one.
         """
         entry = self._entries[suspicion.owner][suspicion.epoch]
         entry.granted_at = None
--- a/tamarackgap/ownership/witnesshandler.py
+++ b/tamarackgap/ownership/witnesshandler.py
@@ -1,4 +1,4 @@
-"""A daemon's duty as a witness: grant, seal, and tell of silent owners."""
+"""Answers a witness's messages, and reports owners that stop renewing."""
 
 import math
 
@@ -7,12 +7,12 @@
 from tamarackgap.peers import messages
 from tamarackgap.placement import records
 
-_NOTIFY_AGAIN_S = 0.1
-_GRANTING = (types.WitnessState.OPEN, types.WitnessState.RETIRED)
+_NOTIFY_INTERVAL_S = 0.1
+_GRANTING_STATES = (types.WitnessState.OPEN, types.WitnessState.RETIRED)
 
 
 class WitnessHandler:
-    """Answers owners and successors for one incarnation."""
+    """Answers owners and successors on behalf of one incarnation."""
 
     def __init__(
         self,
@@ -20,23 +20,24 @@
         view: records.TableView,
         outbox: effects.Outbox,
     ) -> None:
-        """Creates a witness that has promised nothing.
+        """Creates a witness that has granted nothing.
 
         Args:
-            suspect_after: Age of the last grant from which an owner is
+            suspect_after: Age of the last grant from which on an owner is
                 suspected, seconds.
-            view: The rows of the table known here.
-            outbox: Takes messages and log lines.
+            view: This daemon's copy of the table.
+            outbox: Collects messages and log lines.
         """
         self._witness = witness.Witness(types.Seconds(suspect_after))
         self._view = view
         self._outbox = outbox
-        self._notified: dict[str, float] = {}
+        # When successors were last notified of each owner, seconds.
+        self._notified_at: dict[str, float] = {}
 
     def renew(
         self, owner: str, message: messages.Renew, now: float
     ) -> messages.RenewReply:
-        """Returns the answer to a renewal."""
+        """Returns the answer to a renewal or probe."""
         state = self._witness.renew(
             owner, message.epoch, types.Seconds(now), message.probe
         )
@@ -44,7 +45,7 @@
             owner,
             message.epoch,
             message.sent,
-            state in _GRANTING and not message.probe,
+            state in _GRANTING_STATES and not message.probe,
             state,
             self._view.cursor,
         )
@@ -57,31 +58,33 @@
         return messages.RetireReply(owner, message.epoch, state)
 
     def release(self, owner: str, message: messages.Release) -> None:
-        """Notes that an owner has given its epoch up."""
+        """Records that an owner has given its epoch up."""
         self._witness.release(owner, message.epoch)
-        self._notified.pop(owner, None)
+        self._notified_at.pop(owner, None)
 
     def seal(self, message: messages.Seal, now: float) -> messages.SealReply:
-        """Returns the answer to a request to seal."""
+        """Returns the answer to a successor that asks for a seal."""
         state, age = self._witness.seal(
             message.owner, message.epoch, types.Seconds(now)
         )
-        known = age if age != math.inf else -1.0
+        # A negative age stands for "no grant" in the answer.
+        sent_age = age if age != math.inf else -1.0
         self._outbox.log(
             "seal_asked",
             owner=message.owner,
             epoch=message.epoch,
             state=state.value,
-            age=round(known, 4),
+            age=round(sent_age, 4),
         )
-        return messages.SealReply(message.owner, message.epoch, state, known)
+        return messages.SealReply(message.owner, message.epoch, state, sent_age)
 
     def silent_owners(self, now: float) -> list[records.LeaseRecord]:
-        """Tells successors of owners that no longer renew.
+        """Notifies the successors of owners that have stopped renewing.
 
         Returns:
-            The records that this daemon should try to end itself: it is a
-            successor, or nobody else may come to close them.
+            The records whose epochs this daemon should try to end itself:
+            it is a successor, or one of the successors is gone, or there is
+            none.
         """
         own_task = []
         for suspicion in self._witness.suspicions(types.Seconds(now)):
@@ -90,17 +93,21 @@
                 if self._view.revision(records.lease_key(suspicion.owner)):
                     self._witness.forget_suspicion(suspicion)
                 continue
-            last = self._notified.get(suspicion.owner, -math.inf)
-            if suspicion.epoch != record.epoch or now - last < _NOTIFY_AGAIN_S:
+            last = self._notified_at.get(suspicion.owner, -math.inf)
+            if (
+                suspicion.epoch != record.epoch
+                or now - last < _NOTIFY_INTERVAL_S
+            ):
                 continue
-            self._notified[suspicion.owner] = now
-            if self._notify(record, suspicion):
+            self._notified_at[suspicion.owner] = now
+            if self._notify_successors(record, suspicion):
                 own_task.append(record)
         return own_task
 
-    def _notify(
+    def _notify_successors(
         self, record: records.LeaseRecord, suspicion: witness.Suspicion
     ) -> bool:
+        """Returns whether this daemon should try to end the epoch itself."""
         message = messages.SuspectOwner(suspicion.owner, suspicion.epoch)
         successors = record.successors()
         for name in successors:
