--- a/tamarackgap/ownership/endedincarnations.py
+++ b/tamarackgap/ownership/endedincarnations.py
@@ -1,55 +1,80 @@
-"""What ended incarnations of this process leave behind.
+"""What ended incarnations of this process still bind it to.
 
-The process remembers what they promised as witnesses, and knows when what
-they handed over is over.
+A process gets a new incarnation id when it loses its lease. It keeps the
+promises that it gave as a witness under earlier ids, and it knows when the
+requests that earlier ids sent to the target have ended.
 """
 
 from tamarackgap.ownership import effects, witnesshandler
 from tamarackgap.placement import records
 
-_KEPT = 8
+_MAX_WITNESSES = 8
 
 
 class EndedIncarnations:
     """The ended incarnations of this process."""
 
     def __init__(self) -> None:
-        """Creates a memory of none."""
+        """Creates the state of a process whose first incarnation runs."""
         self._witnesses: dict[str, witnesshandler.WitnessHandler] = {}
-        self._over_at: dict[str, float] = {}
+        self._ends: dict[str, float] = {}
 
     def keep(self, name: str, witness: witnesshandler.WitnessHandler) -> None:
-        """Keeps an ended incarnation's promises."""
+        """Keeps the witness of an ended incarnation; drops the oldest ones.
+
+        Args:
+            name: The ended incarnation.
+            witness: The grants and seals that it has given.
+        """
         self._witnesses[name] = witness
-        for oldest in list(self._witnesses)[:-_KEPT]:
+        for oldest in list(self._witnesses)[:-_MAX_WITNESSES]:
             del self._witnesses[oldest]
 
     def witness(self, name: str) -> witnesshandler.WitnessHandler | None:
-        """Returns what was promised under a name, or None."""
+        """Returns the witness of an ended incarnation, or None."""
         return self._witnesses.get(name)
 
     def silent_owners(
         self, outbox: effects.Outbox, now: float
     ) -> list[records.LeaseRecord]:
-        """Returns owners that renew no more with any of them."""
-        found = []
+        """Returns the owners that an ended incarnation's witness suspects.
+
+        Successors are notified in the name of the ended incarnation, because
+        the owner's record lists that one as a witness.
+
+        Args:
+            outbox: Collects the messages.
+            now: Monotonic time, seconds.
+        """
+        owners = []
         sender = outbox.incarnation
         for name, witness in list(self._witnesses.items()):
             outbox.incarnation = name
-            found += witness.silent_owners(now)
+            owners += witness.silent_owners(now)
         outbox.incarnation = sender
-        return found
+        return owners
 
     def ends(self, name: str, at: float) -> None:
-        """Notes when what an incarnation handed over is over, seconds."""
-        self._over_at[name] = at
+        """Records when an incarnation's last requests have ended.
+
+        Args:
+            name: The incarnation.
+            at: Monotonic time by which its lease has ended and no request
+                that it sent to the target is executed any more, seconds.
+        """
+        self._ends[name] = at
 
     def over(self, view: records.TableView, now: float) -> frozenset[str]:
-        """Returns those that are over for certain and not yet closed."""
-        for name in list(self._over_at):
+        """Returns the incarnations that have ended and may be closed.
+
+        Those whose records are closed already are left out.
+
+        Args:
+            view: This daemon's copy of the table.
+            now: Monotonic time, seconds.
+        """
+        for name in list(self._ends):
             record = view.lease(name)
             if record is not None and not record.is_open:
-                del self._over_at[name]
-        return frozenset(
-            name for name, at in self._over_at.items() if now >= at
-        )
+                del self._ends[name]
+        return frozenset(name for name, at in self._ends.items() if now >= at)
--- a/tamarackgap/ownership/epochchange.py
+++ b/tamarackgap/ownership/epochchange.py
@@ -1,4 +1,8 @@
-"""An owner's way to its next epoch: prepare it, hand slots off, write it."""
+"""Leads an owner to its next epoch.
+
+The steps are: collect retirements and new grants, let the target release the
+slots that move, and write the epoch to the table.
+"""
 
 from collections.abc import Callable
 
@@ -7,32 +11,37 @@
 from tamarackgap.ownership import effects, planner, plannerinputs, renewal
 from tamarackgap.placement import placement, slots
 
-# Longest time for witnesses to retire one epoch and to grant the next, seconds.
-_PREPARE_LIMIT_S = 2.0
-# Longest time for a target to release slots that are to move, seconds.
-_HAND_OFF_LIMIT_S = 4.0
+# Longest time for witnesses to retire the current epoch and grant the next.
+_PREPARE_TIMEOUT_S = 2.0
+# Longest time for the target to release the slots that are to move.
+_RELEASE_TIMEOUT_S = 4.0
 
 
 class EpochChange:
-    """The next epoch of one incarnation, while it is not written yet."""
+    """The change to the next epoch, from the intent to the write."""
 
     def __init__(
-        self, lease: renewal.LeaseRenewer, outbox: effects.Outbox, ordered: bool
+        self,
+        renewer: renewal.LeaseRenewer,
+        outbox: effects.Outbox,
+        ordered_keys: bool,
     ) -> None:
         """Creates an owner that wants no other epoch.
 
         Args:
-            lease: The incarnation's lease.
-            outbox: Takes effects and log lines.
-            ordered: Whether targets release slots before they move.
+            renewer: Renews the incarnation's lease.
+            outbox: Collects effects and log lines.
+            ordered_keys: Whether the target has to release slots before
+                they move.
         """
-        self._renewal = lease
+        self._renewer = renewer
         self._outbox = outbox
-        self._ordered = ordered
+        self._ordered_keys = ordered_keys
         self._intent: planner.EpochIntent | None = None
-        self._until = 0.0
-        self._hand_off: planner.SlotRelease | None = None
-        # Slots that are about to move: they are served no more.
+        # When the current step is given up, seconds.
+        self._give_up_at = 0.0
+        self._release: planner.SlotRelease | None = None
+        # Slots that are about to move, and are not served any more.
         self.moving: frozenset[int] = frozenset()
 
     @property
@@ -43,79 +52,93 @@
     @property
     def is_releasing_slots(self) -> bool:
         """Whether the target is releasing slots that are to move."""
-        return self._hand_off is not None
+        return self._release is not None
 
     def begin(self, intent: planner.EpochIntent, now: float) -> None:
-        """Collects retirements and new grants before the epoch changes."""
+        """Asks witnesses to retire the current epoch and grant the next.
+
+        Args:
+            intent: The epoch that is wanted.
+            now: Monotonic time, seconds.
+        """
         self._intent = intent
-        self._until = now + _PREPARE_LIMIT_S
-        self._renewal.prepare(intent.witnesses, now)
+        self._give_up_at = now + _PREPARE_TIMEOUT_S
+        self._renewer.prepare(intent.witnesses, now)
 
     def proceed(
         self,
-        situation: Callable[[float], plannerinputs.PlannerInputs],
-        change: Callable[[], str],
+        inputs: Callable[[float], plannerinputs.PlannerInputs],
+        change_id: Callable[[], str],
         now: float,
     ) -> planner.EpochWrite | None:
-        """Goes on; returns the write that begins the epoch once it is due.
+        """Continues the change, or gives it up if a step took too long.
 
         Args:
-            situation: Returns what is known.
-            change: Returns a fresh id for the write.
+            inputs: Returns the planner's inputs at a time.
+            change_id: Returns a fresh id for the write.
             now: Monotonic time, seconds.
+
+        Returns:
+            The write that begins the epoch once all is ready, else None.
         """
-        waits = self._hand_off is not None and self._hand_off.handovers is None
-        if waits or not self._renewal.own_lease.is_prepared(now):
-            if now >= self._until:
+        is_waiting = self._release is not None and (
+            self._release.handovers is None
+        )
+        if is_waiting or not self._renewer.own_lease.is_prepared(now):
+            if now >= self._give_up_at:
                 self.give_up()
             return None
-        found = planner.plan_epoch_write(
-            self._intent, situation(now), change(), self._hand_off
+        write = planner.plan_epoch_write(
+            self._intent, inputs(now), change_id(), self._release
         )
-        if found is None:
+        if write is None:
             self.give_up()
             return None
-        self.moving = frozenset(move.slot for move in found.moves)
-        if self._ordered and self.moving and self._hand_off is None:
-            self._hand_off = planner.SlotRelease(found.moves)
-            self._until = now + _HAND_OFF_LIMIT_S
+        self.moving = frozenset(move.slot for move in write.moves)
+        if self._ordered_keys and self.moving and self._release is None:
+            self._release = planner.SlotRelease(write.moves)
+            self._give_up_at = now + _RELEASE_TIMEOUT_S
             self._outbox.put(effects.ReleaseSlots(self.moving))
             return None
-        self._log_moves(found.moves)
-        self._renewal.own_lease.begin_write()
-        return found
+        self._log_moves(write.moves)
+        self._renewer.own_lease.begin_write()
+        return write
 
     def slots_released(self, handovers: dict[slots.SlotRange, str]) -> None:
-        """Notes that the target has released the slots that are to move.
+        """Records that the target has released the slots that are to move.
 
         Args:
-            handovers: What it said to tell each run's next target.
+            handovers: The target's text for the next target of each range.
         """
-        if self._hand_off is not None:
-            self._hand_off = msgspec.structs.replace(
-                self._hand_off, handovers=handovers
+        if self._release is not None:
+            self._release = msgspec.structs.replace(
+                self._release, handovers=handovers
             )
 
     def give_up(self) -> None:
-        """Stays in the present epoch, or follows what the table shows."""
-        self._renewal.own_lease.abandon()
+        """Ends the change.
+
+        The owner stays in its current epoch, or is already in the epoch that
+        the table records.
+        """
+        self._renewer.own_lease.abandon()
         self._intent = None
         self.end_hand_off()
 
     def end_hand_off(self) -> None:
-        """Notes that slots which were to move have moved, or stay."""
+        """Ends the release of slots: they have moved, or they stay."""
         self.moving = frozenset()
-        if self._hand_off is not None:
-            self._hand_off = None
+        if self._release is not None:
+            self._release = None
             self._outbox.put(effects.ReleaseSlots(self.moving))
 
     def _log_moves(self, moves: tuple[placement.Move, ...]) -> None:
-        """Logs one line for each run of slots that goes the same way."""
-        ways: dict[tuple[str, str], dict[int, slots.SlotAssignment]] = {}
+        """Logs one line per slot range with one destination and reason."""
+        groups: dict[tuple[str, str], dict[int, slots.SlotAssignment]] = {}
         for move in moves:
-            way = ways.setdefault((move.destination, move.reason), {})
-            way[move.slot] = slots.SlotAssignment(0)
-        for (destination, reason), moved in ways.items():
+            group = groups.setdefault((move.destination, move.reason), {})
+            group[move.slot] = slots.SlotAssignment(0)
+        for (destination, reason), moved in groups.items():
             for run in slots.compress(moved):
                 self._outbox.log(
                     "move",
--- a/tamarackgap/ownership/liveness.py
+++ b/tamarackgap/ownership/liveness.py
@@ -1,20 +1,21 @@
-"""Owners that are not heard, and the challenges that were put to them."""
+"""Tracks unreachable owners and the challenges that are open against them."""
 
 from collections.abc import Callable
 
 from tamarackgap.placement import records
 
-# An owner that answered a challenge, or was ended, is not asked again for so
-# long, seconds.
-_PAUSE_S = 10.0
+# After a challenge was answered, or its owner's record was closed, the owner
+# does not count as unreachable for this long.
+_CHALLENGE_PAUSE_S = 10.0
 
 
 class LivenessTracker:
-    """Since when owners are missed, and challenges have been standing."""
+    """Records since when owners are unreachable and challenges are open."""
 
     def __init__(self) -> None:
-        """Creates a memory in which everybody is heard."""
+        """Creates a tracker that knows of no unreachable owner."""
         self._missed_since: dict[str, float] = {}
+        # Revision of each challenge's row, and when it was first seen.
         self._challenges: dict[str, tuple[int, float]] = {}
 
     def missed_for(
@@ -24,13 +25,17 @@
         is_reachable: Callable[[str], bool],
         now: float,
     ) -> dict[str, float]:
-        """Returns for how long each silent owner has been missed, seconds.
+        """Returns how long each unreachable owner has been missed, seconds.
 
         Args:
-            view: Rows of the table known here.
-            own: The incarnation that asks.
-            is_reachable: Tells whether an incarnation has been heard lately.
+            view: This daemon's copy of the table.
+            own: This daemon's incarnation, which is left out.
+            is_reachable: Tells whether an incarnation has been heard from
+                lately.
             now: Monotonic time, seconds.
+
+        Returns:
+            Seconds by incarnation; negative in the pause after a challenge.
         """
         self._missed_since = {
             record.incarnation: self._missed_since.get(record.incarnation, now)
@@ -44,16 +49,24 @@
     def challenged_for(
         self, view: records.TableView, now: float
     ) -> dict[str, float]:
-        """Returns for how long each challenge has been seen here, seconds."""
-        found: dict[str, tuple[int, float]] = {}
+        """Returns how long this daemon has seen each challenge, seconds.
+
+        A challenge that was written anew counts from its new revision.
+
+        Args:
+            view: This daemon's copy of the table.
+            now: Monotonic time, seconds.
+        """
+        current: dict[str, tuple[int, float]] = {}
         for name in view.challenges():
             revision = view.revision(records.challenge_key(name))
-            known = self._challenges.get(name)
-            if known is None or known[0] != revision:
-                known = (revision, now)
-            found[name] = known
-        for name in self._challenges.keys() - found.keys():
-            # It lives, or is over: it is not asked again for a while.
-            self._missed_since[name] = now + _PAUSE_S
-        self._challenges = found
-        return {name: now - since for name, (_, since) in found.items()}
+            first_seen = self._challenges.get(name)
+            if first_seen is None or first_seen[0] != revision:
+                first_seen = (revision, now)
+            current[name] = first_seen
+        for name in self._challenges.keys() - current.keys():
+            # The owner has answered, or its record was closed: it must not
+            # be challenged again at once.
+            self._missed_since[name] = now + _CHALLENGE_PAUSE_S
+        self._challenges = current
+        return {name: now - since for name, (_, since) in current.items()}
--- a/tamarackgap/ownership/loads.py
+++ b/tamarackgap/ownership/loads.py
@@ -1,4 +1,4 @@
-"""What other members serve, and how much may be moved because of it."""
+"""Exchanges loads between members, and limits how many slots move."""
 
 import random
 
@@ -6,73 +6,87 @@
 from tamarackgap.peers import messages
 from tamarackgap.placement import records
 
-# Loads go to a sample, so that their number does not grow with the square.
+# Each load is reported to a sample of the members, so that the number of
+# messages grows with the number of members and not with its square.
 _FANOUT = 8
-# Requests a second below which there is nothing to measure.
-_IDLE_RATE = 5.0
-# A load that is older than this counts as unknown.
-_FRESH_S = 6.0
+# A load below this is too small to be mismeasured, so it is reported even in
+# the warm-up. Requests per second.
+_IDLE_RATE_PER_S = 5.0
+# A report that is older than this is ignored.
+_MAX_AGE_S = 6.0
 _MINUTE_S = 60.0
 
 
 class Loads:
-    """The latest load that each member has told of."""
+    """The latest load that each member has reported."""
 
     def __init__(self) -> None:
-        self._known: dict[str, tuple[float, float]] = {}
+        # Requests per second, and the time of the report.
+        self._reports: dict[str, tuple[float, float]] = {}
 
     def note(self, incarnation: str, rate: float | None, now: float) -> None:
-        """Takes in what a member serves, in requests a second.
+        """Records a member's load.
 
-        None makes it unknown: its slots have changed too lately.
+        Args:
+            incarnation: The member.
+            rate: Requests per second that it serves, or None if it can't
+                tell because its slots have just changed.
+            now: Monotonic time, seconds.
         """
         if rate is None:
-            self._known.pop(incarnation, None)
+            self._reports.pop(incarnation, None)
         else:
-            self._known[incarnation] = (rate, now)
+            self._reports[incarnation] = (rate, now)
 
     def fresh(self, now: float) -> dict[str, float]:
-        """Returns the loads that are not too old; forgets the others."""
-        self._known = {
+        """Returns the loads that are not too old, and drops the others.
+
+        Returns:
+            Requests per second by incarnation.
+        """
+        self._reports = {
             name: (rate, at)
-            for name, (rate, at) in self._known.items()
-            if now - at <= _FRESH_S
+            for name, (rate, at) in self._reports.items()
+            if now - at <= _MAX_AGE_S
         }
-        return {name: rate for name, (rate, _) in self._known.items()}
+        return {name: rate for name, (rate, _) in self._reports.items()}
 
 
 class MoveBudget:
-    """Slots that may be given away, up to so many in a minute."""
+    """A token bucket that limits the slots moved away per minute."""
 
-    def __init__(self, a_minute: int, now: float) -> None:
-        """Creates a full budget."""
-        self._a_minute = a_minute
-        self._tokens = float(a_minute)
-        self._at = now
+    def __init__(self, slots_per_minute: int, now: float) -> None:
+        """Creates a full bucket."""
+        self._slots_per_minute = slots_per_minute
+        self._tokens = float(slots_per_minute)
+        self._refilled_at = now
 
-    def resize(self, a_minute: int, now: float) -> None:
-        """Sets how many slots may be given away in a minute."""
+    def resize(self, slots_per_minute: int, now: float) -> None:
+        """Sets how many slots may move per minute."""
         self._refill(now)
-        self._a_minute = a_minute
-        self._tokens = min(self._tokens, float(a_minute))
+        self._slots_per_minute = slots_per_minute
+        self._tokens = min(self._tokens, float(slots_per_minute))
 
     def tokens(self, now: float) -> float:
-        """Returns how many slots may be given away now."""
+        """Returns how many slots may move now."""
         self._refill(now)
         return self._tokens
 
     def spend(self, count: int) -> None:
-        """Notes slots that are given away; draining may go below zero."""
+        """Takes moved slots out of the bucket, which does not go below zero.
+
+        A draining daemon may move more slots than there are tokens.
+        """
         self._tokens = max(0.0, self._tokens - count)
 
     def _refill(self, now: float) -> None:
-        gained = (now - self._at) * self._a_minute / _MINUTE_S
-        self._tokens = min(float(self._a_minute), self._tokens + gained)
-        self._at = now
+        gained = (now - self._refilled_at) * self._slots_per_minute / _MINUTE_S
+        self._tokens = min(float(self._slots_per_minute), self._tokens + gained)
+        self._refilled_at = now
 
 
 class LoadExchange:
-    """Tells other members of this daemon's load, and learns of theirs."""
+    """Reports this daemon's load to other members, and records theirs."""
 
     def __init__(
         self,
@@ -82,13 +96,13 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        """Creates a daemon that has served nothing.
+        """Creates a daemon that has served no requests.
 
         Args:
-            settings: What the daemon is told about itself.
-            view: The rows of the table known here.
-            outbox: Takes messages.
-            rng: Chooses whom to tell.
+            settings: The daemon's settings.
+            view: This daemon's copy of the table.
+            outbox: Collects the messages to send.
+            rng: Chooses the members that get a report.
             now: Monotonic time, seconds.
         """
         self._settings = settings
@@ -97,24 +111,25 @@
         self._rng = rng
         self.known = Loads()
         self.budget = MoveBudget(records.Policy().moves, now)
-        # Requests a second of each slot served here.
+        # Requests per second of each slot served here.
         self.rates: dict[int, float] = {}
 
     def share(
         self, rates: dict[int, float], now: float, changed_at: float
     ) -> None:
-        """Notes the slots' rates, and tells a sample of the others.
+        """Records the load of the own slots, and reports it to a sample.
 
         Args:
-            rates: Requests a second of each slot.
+            rates: Requests per second of each slot.
             now: Monotonic time, seconds.
-            changed_at: When slots came or went last, seconds.
+            changed_at: When slots were last gained or lost, seconds.
         """
         self.rates = rates
         total: float | None = sum(rates.values())
-        unsettled = now - changed_at < self._settings.load_warmup
-        if unsettled and total >= _IDLE_RATE:
-            # What came lately is not measured well enough to move more.
+        in_warmup = now - changed_at < self._settings.load_warmup
+        if in_warmup and total >= _IDLE_RATE_PER_S:
+            # New slots have not been measured for long enough to base
+            # further moves on their load.
             total = None
         own = self._outbox.incarnation
         self.known.note(own, total, now)
--- a/tamarackgap/ownership/succession.py
+++ b/tamarackgap/ownership/succession.py
@@ -1,4 +1,4 @@
-"""A daemon's part as a successor: seal, wait, serve, and tell of it."""
+"""Takes slots over as a successor: seals an epoch, waits, then serves."""
 
 from collections.abc import Callable
 
@@ -7,42 +7,44 @@
 from tamarackgap.peers import messages
 from tamarackgap.placement import records, slotowners, slots
 
-_ASK_AGAIN_S = 0.05
-_RECLAIM_S = 1.0
-_SUSPICION_KEPT_S = 2.0
+_SEAL_INTERVAL_S = 0.05
+_CLAIM_INTERVAL_S = 1.0
+# An attempt without a majority of seals is dropped if no witness has
+# suspected the owner for this long.
+_SUSPICION_TIMEOUT_S = 2.0
 
-# Seals at this very daemon, where it is a witness itself.
+# Seals an epoch at this daemon's own witness, given the current time.
 SealHere = Callable[[messages.Seal, float], messages.SealReply]
 
 
 class Succession:
-    """Attempts to end other epochs, and the slots won by them."""
+    """Attempts to end other owners' epochs, and the slots gained by them."""
 
     def __init__(
         self,
         drift: float,
         view: records.TableView,
-        known: slotowners.SlotOwners,
+        slot_owners: slotowners.SlotOwners,
         outbox: effects.Outbox,
         seal_here: SealHere,
     ) -> None:
-        """Creates a successor that has begun nothing.
+        """Creates a successor without any attempts.
 
         Args:
-            drift: Largest relative error between two VMs' clocks.
-            view: The rows of the table known here.
-            known: Slot owners known here.
-            outbox: Takes messages and log lines.
-            seal_here: Seals at this daemon.
+            drift: Largest relative error between the clocks of two VMs.
+            view: This daemon's copy of the table.
+            slot_owners: The slot owners that this daemon knows of.
+            outbox: Collects messages and log lines.
+            seal_here: Seals an epoch at this daemon's own witness.
         """
         self._drift = drift
         self._view = view
-        self._slot_owners = known
+        self._slot_owners = slot_owners
         self._outbox = outbox
         self._seal_here = seal_here
         self._attempts: dict[tuple[str, int], takeover.Takeover] = {}
         self._held: dict[int, effects.OwnedSlot] = {}
-        self._reclaim_at = 0.0
+        self._claim_at = 0.0
 
     @property
     def attempts(self) -> list[takeover.Takeover]:
@@ -51,19 +53,25 @@
 
     @property
     def held(self) -> dict[int, effects.OwnedSlot]:
-        """Slots held under seals that the table does not show yet."""
+        """Slots owned through seals but not yet recorded in the table."""
         return dict(self._held)
 
     def find(self, slot: int) -> effects.OwnedSlot | None:
-        """Returns a slot's holding under seals, or None."""
+        """Returns a slot that is owned through seals, or None."""
         return self._held.get(slot)
 
     def recorded(self, slot: int) -> None:
-        """Notes that the table shows a slot as this daemon's."""
+        """Drops a slot that the table now records as this daemon's."""
         self._held.pop(slot, None)
 
     def suspect(self, owner: str, epoch: int, now: float) -> None:
-        """Begins or goes on with an attempt to end an epoch."""
+        """Starts or continues an attempt to end an epoch.
+
+        Args:
+            owner: The incarnation that a witness suspects.
+            epoch: The epoch that it no longer renews.
+            now: Monotonic time, seconds.
+        """
         record = self._view.lease(owner)
         if record is None or not record.is_open:
             return
@@ -80,14 +88,18 @@
     def sealed(
         self, sender: str, message: messages.SealReply, now: float
     ) -> None:
-        """Takes a witness's answer in."""
+        """Records a witness's answer to a request for a seal."""
         attempt = self._attempts.get((message.owner, message.epoch))
         if attempt is not None:
             attempt.record_answer(sender, message, types.Seconds(now))
 
     def progress(self, now: float) -> bool:
-        """Goes on with all attempts; returns whether one has succeeded."""
-        succeeded = False
+        """Advances all attempts.
+
+        Returns:
+            Whether an epoch is now known to have ended.
+        """
+        has_ended = False
         for (owner, epoch), attempt in list(self._attempts.items()):
             record = self._view.lease(owner)
             if record is None or not record.is_open or record.epoch != epoch:
@@ -96,26 +108,26 @@
                 del self._attempts[owner, epoch]
                 self._outbox.put(effects.ReadTable(urgent=True))
             elif not attempt.done:
-                succeeded |= self._advance(attempt, record, now)
-        return succeeded
+                has_ended |= self._advance(attempt, record, now)
+        return has_ended
 
     def repeat_claims(self, now: float) -> None:
-        """Tells again of slots that the table does not show yet."""
-        if self._held and now >= self._reclaim_at:
-            self._announce(now)
+        """Announces again the slots that are not yet recorded in the table."""
+        if self._held and now >= self._claim_at:
+            self._announce_claims(now)
 
     def claimed(self, sender: str, message: messages.Claim) -> None:
-        """Learns of slots that another successor has taken over."""
-        news = sum(
+        """Records the new owner of slots that another successor took over."""
+        changed = sum(
             self._slot_owners.update(
                 message.service, slot, slotowners.SlotOwner(sender, run.fence)
             )
             for run in message.runs
             for slot in range(run.first, run.last + 1)
         )
-        if news:
+        if changed:
             self._outbox.log(
-                "routes_claimed", owner=message.owner, by=sender, slots=news
+                "routes_claimed", owner=message.owner, by=sender, slots=changed
             )
 
     def _advance(
@@ -124,23 +136,25 @@
         record: records.LeaseRecord,
         now: float,
     ) -> bool:
+        """Advances one attempt; returns whether the epoch has ended."""
         mode = attempt.mode()
         if mode is takeover.Mode.PENDING:
-            if now - attempt.suspected_at > _SUSPICION_KEPT_S:
+            if now - attempt.suspected_at > _SUSPICION_TIMEOUT_S:
                 del self._attempts[record.incarnation, record.epoch]
-            elif now - attempt.asked_at >= _ASK_AGAIN_S:
+            elif now - attempt.asked_at >= _SEAL_INTERVAL_S:
                 attempt.asked_at = now
-                self._ask_seals(attempt, record, now)
+                self._request_seals(attempt, record, now)
             return False
         if now < attempt.over_at():
             return False
         attempt.done = True
-        # The slots of a retired epoch are served once the table shows them.
+        # Slots of a retired epoch are served only once the table records
+        # their new owner.
         if mode is takeover.Mode.SEALED:
-            self._serve(record, now)
+            self._take_slots(record, now)
         return True
 
-    def _ask_seals(
+    def _request_seals(
         self,
         attempt: takeover.Takeover,
         record: records.LeaseRecord,
@@ -154,15 +168,16 @@
             else:
                 self._outbox.send(name, message)
 
-    def _serve(self, record: records.LeaseRecord, now: float) -> None:
+    def _take_slots(self, record: records.LeaseRecord, now: float) -> None:
+        """Owns the slots of an ended epoch that name this successor."""
         before = len(self._held)
         own = self._outbox.incarnation
-        for slot, holding in slots.expand(record.runs).items():
-            if holding.successor == own:
-                fence = holding.fence + 1
+        for slot, assignment in slots.expand(record.runs).items():
+            if assignment.successor == own:
+                fence = assignment.fence + 1
                 self._held[slot] = effects.OwnedSlot(fence, now)
-                route = slotowners.SlotOwner(own, fence)
-                self._slot_owners.update(record.service, slot, route)
+                new_owner = slotowners.SlotOwner(own, fence)
+                self._slot_owners.update(record.service, slot, new_owner)
         self._outbox.log(
             "taken_over",
             owner=record.incarnation,
@@ -170,10 +185,10 @@
             epoch=record.epoch,
             slots=len(self._held) - before,
         )
-        self._announce(now)
+        self._announce_claims(now)
 
-    def _announce(self, now: float) -> None:
-        self._reclaim_at = now + _RECLAIM_S
+    def _announce_claims(self, now: float) -> None:
+        self._claim_at = now + _CLAIM_INTERVAL_S
         for attempt in self._attempts.values():
             if not attempt.done:
                 continue
