--- a/tamarackgap/ownership/changes.py
+++ b/tamarackgap/ownership/changes.py
@@ -1,4 +1,4 @@
-"""Pure functions that build the transactions of the ownership protocol."""
+"""Builds the table transactions of the ownership protocol, without I/O."""
 
 import enum
 from collections.abc import Callable, Iterable
@@ -12,24 +12,34 @@
 class ChangeKind(enum.Enum):
     """What a transaction is for."""
 
+    # Creates the own record.
     JOIN = "join"
+    # Updates the flags of the own record.
     UPDATE_FLAGS = "flag"
+    # Closes the records of incarnations that are known to be gone.
     CLOSE_GONE = "vouch"
+    # Allocates the slots of a new service.
     CREATE_SERVICE = "found"
+    # Takes slots from records whose epochs have ended.
     CLAIM = "claim"
+    # Begins a new epoch, and may move slots.
     RECONFIGURE = "reconfigure"
+    # Deletes the own record.
     LEAVE = "leave"
+    # Asks an unreachable owner to show that it is running.
     CHALLENGE = "challenge"
+    # Deletes the challenge to the own incarnation.
     ANSWER_CHALLENGE = "answer"
+    # Ends a challenge, and closes the record if it was not answered in time.
     CLOSE_UNANSWERED = "condemn"
 
 
 class Change(msgspec.Struct, frozen=True):
-    """A transaction and what it is for.
+    """A transaction and its purpose.
 
     Attributes:
-        kind: Its purpose.
-        transaction: Checks and writes.
+        kind: What it is for.
+        transaction: Its checks and writes.
         reason: The cause, for the log.
     """
 
@@ -43,7 +53,7 @@
 
     Attributes:
         record: That record.
-        fences: Each slot's new fence.
+        fences: The new fence of each slot.
     """
 
     record: records.LeaseRecord
@@ -53,10 +63,15 @@
 class Builder:
     """Collects the checks and writes of one transaction."""
 
-    def __init__(self, view: records.TableView, change: str) -> None:
-        """Creates an empty transaction on the rows of `view`."""
+    def __init__(self, view: records.TableView, change_id: str) -> None:
+        """Creates an empty transaction.
+
+        Args:
+            view: The copy of the table whose revisions are checked.
+            change_id: A fresh id, written into each row.
+        """
         self._view = view
-        self._change = change
+        self._change_id = change_id
         self._checks: dict[str, records.Check] = {}
         self._writes: dict[str, records.Write] = {}
 
@@ -65,9 +80,9 @@
         self._checks[key] = self._view.check(key)
 
     def put(self, record: records.LeaseRecord) -> None:
-        """Writes a lease record, if it has not changed meanwhile."""
+        """Writes a lease record, on condition that it has not changed."""
         self.check(record.key)
-        marked = msgspec.structs.replace(record, change=self._change)
+        marked = msgspec.structs.replace(record, change=self._change_id)
         self._writes[record.key] = records.Write(
             record.key, records.encode(marked)
         )
@@ -77,7 +92,12 @@
         record: records.LeaseRecord,
         left: dict[types.Slot, slots.SlotAssignment],
     ) -> None:
-        """Closes a record; one that holds no slots any more is deleted."""
+        """Closes a lease record, or deletes it if no slots are left in it.
+
+        Args:
+            record: The record.
+            left: The slots that stay in it until they are claimed.
+        """
         if left:
             closed = msgspec.structs.replace(
                 record,
@@ -90,32 +110,42 @@
         self._writes[record.key] = records.Write(record.key, None)
 
     def put_service_record(self, service: str, slot_count: int) -> None:
-        """Writes a service's founding row, if there is none yet."""
+        """Writes a service record, on condition that it has not changed."""
         key = records.service_key(service)
         self.check(key)
-        row = records.ServiceRecord(slot_count, self._change)
+        row = records.ServiceRecord(slot_count, self._change_id)
         self._writes[key] = records.Write(key, records.encode(row))
 
     def challenge(self, record: records.LeaseRecord, by: str) -> None:
-        """Asks a record's incarnation to show that it lives."""
+        """Challenges a record's incarnation to show that it is running.
+
+        Args:
+            record: The record.
+            by: The incarnation that asks.
+        """
         self.check(record.key)
         key = records.challenge_key(record.incarnation)
         self.check(key)
         row = records.Challenge(
-            record.epoch, types.Incarnation(by), self._change
+            record.epoch, types.Incarnation(by), self._change_id
         )
         self._writes[key] = records.Write(key, records.encode(row))
 
     def end_challenge(self, incarnation: str) -> None:
-        """Takes the challenge to an incarnation back."""
+        """Deletes the challenge to an incarnation."""
         key = records.challenge_key(incarnation)
         self.check(key)
         self._writes[key] = records.Write(key, None)
 
     def build(self, kind: ChangeKind, reason: str) -> Change:
-        """Returns the finished change."""
+        """Returns the finished change.
+
+        Args:
+            kind: What it is for.
+            reason: The cause, for the log.
+        """
         transaction = records.Transaction(
-            self._change,
+            self._change_id,
             tuple(self._checks.values()),
             tuple(self._writes.values()),
         )
@@ -124,132 +154,152 @@
 
 def with_assignments(
     record: records.LeaseRecord,
-    holdings: dict[types.Slot, slots.SlotAssignment],
+    assignments: dict[types.Slot, slots.SlotAssignment],
     members: Iterable[records.LeaseRecord],
 ) -> records.LeaseRecord:
-    """Returns a record with these holdings, each with a successor."""
-    placed = placement.choose_successors(record, holdings, members)
+    """Returns a record with these slots, each with a successor.
+
+    Args:
+        record: The record to change.
+        assignments: The slots that it owns.
+        members: Open records among which successors are chosen.
+    """
+    placed = placement.choose_successors(record, assignments, members)
     return msgspec.structs.replace(record, runs=slots.compress(placed))
 
 
 def create_service(
     view: records.TableView,
-    mine: records.LeaseRecord,
+    own_record: records.LeaseRecord,
     slot_count: int,
-    change: str,
-    share: bool = False,
+    change_id: str,
+    in_ranges: bool = False,
 ) -> Change:
-    """Gives all slots of a new service out.
+    """Returns the change that allocates all slots of a new service.
 
     Args:
-        view: The rows known here.
-        mine: The record of the daemon that founds the service.
+        view: This daemon's copy of the table.
+        own_record: The record of the daemon that creates the service.
         slot_count: Number of slots.
-        change: The write's id.
-        share: Whether each member gets an equal run; otherwise one daemon
-            gets all, and spreads them.
+        change_id: The id of the write.
+        in_ranges: Whether each member gets an equal slot range; otherwise
+            this daemon gets all slots, and moves them to others later.
     """
-    builder = Builder(view, change)
-    builder.put_service_record(mine.service, slot_count)
-    if share:
-        _share(builder, view, mine, slot_count)
+    builder = Builder(view, change_id)
+    builder.put_service_record(own_record.service, slot_count)
+    if in_ranges:
+        _allocate_ranges(builder, view, own_record, slot_count)
         return builder.build(
             ChangeKind.CREATE_SERVICE, "no-slots-given-out-yet"
         )
-    holdings = {
+    assignments = {
         types.Slot(slot): slots.SlotAssignment(1) for slot in range(slot_count)
     }
-    members = view.members(mine.service)
-    builder.put(with_assignments(mine, holdings, members))
+    members = view.members(own_record.service)
+    builder.put(with_assignments(own_record, assignments, members))
     return builder.build(ChangeKind.CREATE_SERVICE, "no-slots-given-out-yet")
 
 
-def _share(
+def _allocate_ranges(
     builder: Builder,
     view: records.TableView,
-    mine: records.LeaseRecord,
+    own_record: records.LeaseRecord,
     slot_count: int,
 ) -> None:
-    members = view.members(mine.service)
-    owners = [record for record in members if record.can_own] or [mine]
+    members = view.members(own_record.service)
+    owners = [record for record in members if record.can_own] or [own_record]
     for index, owner in enumerate(owners):
         first = slot_count * index // len(owners)
         end = slot_count * (index + 1) // len(owners)
-        holdings = {
+        assignments = {
             types.Slot(slot): slots.SlotAssignment(1)
             for slot in range(first, end)
         }
-        builder.put(with_assignments(owner, holdings, members))
+        builder.put(with_assignments(owner, assignments, members))
 
 
 def claim(
     view: records.TableView,
-    mine: records.LeaseRecord,
-    gains: Iterable[SlotClaim],
-    change: str,
+    own_record: records.LeaseRecord,
+    claims: Iterable[SlotClaim],
+    change_id: str,
 ) -> Change:
-    """Takes slots from records whose epochs are over, and closes those."""
-    builder = Builder(view, change)
-    holdings = slots.expand(mine.runs)
+    """Returns the change that takes slots from ended epochs' records.
+
+    It also closes these records, or deletes those without slots left.
+
+    Args:
+        view: This daemon's copy of the table.
+        own_record: The record of the daemon that takes the slots.
+        claims: The slots to take.
+        change_id: The id of the write.
+    """
+    builder = Builder(view, change_id)
+    assignments = slots.expand(own_record.runs)
     sources = []
-    for gain in gains:
-        left = slots.expand(gain.record.runs)
-        for slot, fence in gain.fences.items():
+    for slot_claim in claims:
+        left = slots.expand(slot_claim.record.runs)
+        for slot, fence in slot_claim.fences.items():
             left.pop(types.Slot(slot), None)
-            holdings[types.Slot(slot)] = slots.SlotAssignment(fence)
-        builder.close(gain.record, left)
-        sources.append(gain.record.incarnation)
-    kept = slots.expand(mine.runs)
+            assignments[types.Slot(slot)] = slots.SlotAssignment(fence)
+        builder.close(slot_claim.record, left)
+        sources.append(slot_claim.record.incarnation)
+    kept = slots.expand(own_record.runs)
     placed = placement.choose_successors(
-        mine,
-        {slot: held for slot, held in holdings.items() if slot not in kept},
-        view.members(mine.service),
+        own_record,
+        {
+            slot: assignment
+            for slot, assignment in assignments.items()
+            if slot not in kept
+        },
+        view.members(own_record.service),
     )
-    # Successors of slots held before must not change within an epoch.
+    # Successors of the slots owned before must not change within an epoch.
     runs = slots.compress({**kept, **placed})
-    builder.put(msgspec.structs.replace(mine, runs=runs))
+    builder.put(msgspec.structs.replace(own_record, runs=runs))
     return builder.build(ChangeKind.CLAIM, "lease-over:" + ",".join(sources))
 
 
 def reconfigure(
     view: records.TableView,
-    target: records.LeaseRecord,
+    new_record: records.LeaseRecord,
     moves: Iterable[placement.Move],
-    change: str,
+    change_id: str,
     reason: str,
     handover: Callable[[int], str] = lambda slot: "",
 ) -> Change:
-    """Begins a new epoch, and hands slots over in the same transaction.
+    """Returns the change that begins a new epoch, and moves slots with it.
 
     Args:
-        view: The rows known here.
-        target: The owner's own record with its new epoch and witnesses.
-        moves: Slots to hand over.
-        change: The write's id.
+        view: This daemon's copy of the table.
+        new_record: The owner's record with its new epoch and witnesses.
+        moves: Slots to move to other owners.
+        change_id: The id of the write.
         reason: The cause, for the log.
-        handover: What to tell the next target of a slot.
+        handover: Returns the text for the next target of a slot.
     """
-    builder = Builder(view, change)
-    holdings = slots.expand(target.runs)
+    builder = Builder(view, change_id)
+    assignments = slots.expand(new_record.runs)
     gained: dict[str, dict[types.Slot, slots.SlotAssignment]] = {}
     moves = list(moves)
-    # One fence for all that moves keeps neighbouring slots in one run.
+    # All moved slots get the same fence, so that neighbouring ones stay in
+    # one slot range.
     fence = 1 + max(
-        (holdings[types.Slot(move.slot)].fence for move in moves), default=0
+        (assignments[types.Slot(move.slot)].fence for move in moves), default=0
     )
     for move in moves:
-        del holdings[types.Slot(move.slot)]
-        taken = gained.setdefault(move.destination, {})
-        taken[types.Slot(move.slot)] = slots.SlotAssignment(
+        del assignments[types.Slot(move.slot)]
+        moved = gained.setdefault(move.destination, {})
+        moved[types.Slot(move.slot)] = slots.SlotAssignment(
             fence, handover=handover(move.slot)
         )
-    members = view.members(target.service)
-    builder.put(with_assignments(target, holdings, members))
-    for destination, taken in gained.items():
+    members = view.members(new_record.service)
+    builder.put(with_assignments(new_record, assignments, members))
+    for destination, moved in gained.items():
         record = view.lease(destination)
         if record is None:
             continue
-        placed = placement.choose_successors(record, taken, members)
+        placed = placement.choose_successors(record, moved, members)
         runs = slots.compress({**slots.expand(record.runs), **placed})
         builder.put(msgspec.structs.replace(record, runs=runs))
     return builder.build(ChangeKind.RECONFIGURE, reason)
--- a/tamarackgap/ownership/effects.py
+++ b/tamarackgap/ownership/effects.py
@@ -1,4 +1,4 @@
-"""What the ownership protocol is told, and what it asks to be done."""
+"""Settings of the ownership protocol, and the effects that it asks for."""
 
 import enum
 
@@ -10,33 +10,34 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """What a daemon is told about itself.
+    """The settings of one daemon.
 
     Attributes:
-        service: The service of its target.
-        daemon: Its name, kept over restarts.
-        data_centre: Where its VM stands.
+        service: The service of the local target.
+        daemon: The daemon's name, kept over restarts.
+        data_centre: The data centre of the daemon's VM.
         peer_address: `ip:port` for messages between daemons.
         http_address: `ip:port` for callers and operators.
-        slot_count: Slots of the service, if it has to be founded here.
-        lease: Length of a grant, seconds.
-        linger: Longest run past the lease's end at a target that does not
-            check grants, seconds.
-        drift: Largest relative error between two VMs' clocks.
-        witnesses: How many witnesses are wanted; odd.
-        settle: Time before a service is founded, seconds.
-        batch: Most slots handed over in one transaction.
-        ordered_keys: Whether keys lie in slots by their order; then slots are
-            given out in runs, and the target is asked to release them
-            before they move.
-        load_half_life: Half-life of the loads of slots, seconds.
-        load_warmup: Time after a change of slots in which loads are measured
-            anew, seconds.
-        min_tolerance: Least load above its share, percent, at which a daemon
-            gives slots away, whatever the operators' row says.
-        anchor: An owner that has not read the table for so long serves
-            nothing, seconds; 0 for no such bound. Without it a person has
-            to say that owner and witnesses are lost together.
+        slot_count: Number of slots if this daemon creates the service.
+        lease: Time for which a grant is valid, seconds.
+        linger: Longest time that a request may still execute after the
+            lease's end, at a target that does not check grants, seconds.
+        drift: Largest relative error between the clocks of two VMs.
+        witnesses: Number of witnesses wanted; odd.
+        settle: Time after the start before the daemon may create the
+            service, seconds.
+        batch: Largest number of slots moved in one transaction.
+        ordered_keys: Whether keys are mapped to slots by their order. Slots
+            are then allocated in ranges, and the target is asked to release
+            them before they move.
+        load_half_life: Half-life of the measured loads of slots, seconds.
+        load_warmup: Time after a change of slots for which their load is
+            not yet measured well enough, seconds.
+        min_tolerance: Lower bound, percent, on the policy's tolerance: the
+            load above its share at which a daemon moves slots away.
+        anchor: Longest time for which an owner serves without a table read,
+            seconds; 0 for no limit. Without a limit, an operator has to
+            report a daemon as lost if its witnesses are lost with it.
     """
 
     service: str
@@ -59,10 +60,11 @@
 
 
 def challenge_timeout(settings: Settings) -> float:
-    """Returns how long a challenge must stand unanswered, seconds.
+    """Returns how long a challenge must stay unanswered, seconds.
 
-    By then its owner has not read the table for the anchor time on its own
-    clock, and what it handed over last has ended.
+    By then the challenged owner has not read the table for the anchor time
+    on its own clock, and the last request that it sent to its target has
+    ended.
     """
     longest = settings.anchor + settings.lease + settings.linger
     return longest * (1 + 2 * settings.drift)
@@ -72,9 +74,10 @@
     """A slot that this daemon owns.
 
     Attributes:
-        fence: The fence under which it serves the slot.
+        fence: The fence under which the daemon serves the slot.
         since: When it took the slot over, seconds.
-        handover: What the target that released it last said, or "".
+        handover: The text that the target returned when it last released
+            the slot, or "".
     """
 
     fence: int
@@ -86,8 +89,8 @@
     """Effect: send a message to a daemon.
 
     Attributes:
-        sender: The incarnation that decided on it; by the time it is sent,
-            the process may already be another one.
+        sender: The incarnation that sends it. The process may already have
+            a new one when the effect is carried out.
         address: The receiver's `ip:port`.
         message: The message.
     """
@@ -104,26 +107,32 @@
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """Effect: write a line to the log."""
+    """Effect: write a log line.
+
+    Attributes:
+        event: Name of the event.
+        fields: Its fields.
+    """
 
     event: str
     fields: dict[str, object]
 
 
 class ReadTable(msgspec.Struct, frozen=True):
-    """Effect: read the table soon; it has rows that are not known here.
+    """Effect: read the table soon, because it has rows not yet read here.
 
     Attributes:
-        urgent: Whether slots wait for what is read.
+        urgent: Whether slots can't be served before it is read.
     """
 
     urgent: bool = False
 
 
 class ReleaseSlots(msgspec.Struct, frozen=True):
-    """Effect: take slots back from the target, then call `slots_released`.
+    """Effect: let the target release slots, then call `slots_released`.
 
-    With no slots, a move is over or was given up.
+    Attributes:
+        slots: The slots; if empty, the move has ended or was given up.
     """
 
     slots: frozenset[int]
@@ -133,7 +142,7 @@
 
 
 class CommitState(enum.Enum):
-    """What is known of a transaction's outcome."""
+    """The outcome of a transaction, as far as it is known."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
@@ -141,21 +150,21 @@
 
 
 class Outbox:
-    """Effects in the order in which they were decided on."""
+    """Collects effects in the order in which they were decided."""
 
     def __init__(self, view: records.TableView, incarnation: str) -> None:
         """Creates an empty outbox.
 
         Args:
-            view: Knows the address of each incarnation.
-            incarnation: The sender.
+            view: Gives the address of each incarnation.
+            incarnation: The sender of the messages.
         """
         self._view = view
         self._effects: list[Effect] = []
         self.incarnation = incarnation
 
     def take(self) -> list[Effect]:
-        """Returns the effects since the last call."""
+        """Returns the effects since the last call, and clears them."""
         taken = self._effects
         self._effects = []
         return taken
@@ -181,5 +190,5 @@
                 self.send_to(record.peer_address, message)
 
     def log(self, event: str, **fields: object) -> None:
-        """Writes a line to the log."""
+        """Writes a log line."""
         self.put(LogLine(event, fields))
--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -6,17 +6,19 @@
 from tamarackgap.placement import placement, records, slots
 
 PLAN_EVERY_S = 0.2
-# With nothing new, loads and ages are looked at this often.
+# While the signature of the inputs stays the same, the planner still runs
+# this often, because loads and ages are not part of it.
 IDLE_S = 1.0
-# An owner that is not heard for so long, and whose epoch its witnesses have
-# not ended by then, is challenged, seconds.
+# An owner that has been unreachable for this long, and whose epoch its
+# witnesses have not ended by then, is challenged.
 _CHALLENGE_AFTER_S = 3.0
-# After so many settling times a service is founded without those missing.
-_FOUND_ANYHOW = 2.0
+# After this many settle times a daemon creates the service even if members
+# can't own slots yet, or another member was to create it.
+_MAX_SETTLE_TIMES = 2.0
 
 
 class EpochIntent(msgspec.Struct, frozen=True):
-    """A new epoch that is wanted.
+    """The wish for a new epoch.
 
     Attributes:
         witnesses: The new epoch's witnesses.
@@ -28,19 +30,19 @@
 
 
 class SlotRelease(msgspec.Struct, frozen=True):
-    """Moves whose slots the target is releasing, or has released.
+    """Moves for which the target releases the slots first.
 
     Attributes:
         moves: The moves.
-        handovers: What it said to tell each run's next target; None until
-            it has released all of them.
+        handovers: The target's text for the next target of each range; None
+            until it has released all slots.
     """
 
     moves: tuple[placement.Move, ...]
     handovers: dict[slots.SlotRange, str] | None = None
 
     def handover(self, slot: int) -> str:
-        """Returns what to tell a slot's next target, or ""."""
+        """Returns the text for a slot's next target, or ""."""
         for run, text in (self.handovers or {}).items():
             if run.first <= slot <= run.last:
                 return text
@@ -48,175 +50,189 @@
 
 
 class EpochWrite(msgspec.Struct, frozen=True):
-    """A new epoch that is ready to be written, and the moves in it."""
+    """The write that begins a new epoch.
+
+    Attributes:
+        change: The write.
+        moves: The moves that it contains.
+    """
 
     change: changes.Change
     moves: tuple[placement.Move, ...]
 
 
 def decide(
-    situation: plannerinputs.PlannerInputs, change: str
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | EpochIntent | None:
-    """Returns the change that is due, an intent, or None.
+    """Returns the change or the new epoch that is due, or None.
 
     Args:
-        situation: What is known.
-        change: A fresh id for the write.
+        inputs: The data to decide from.
+        change_id: A fresh id for the write.
     """
-    if not situation.view.is_read:
+    if not inputs.view.is_read:
         return None
     for step in (
         _join,
-        _flag,
-        _answer,
+        _update_flags,
+        _answer_challenge,
         _claim,
-        _vouch,
-        _found,
+        _close_earlier,
+        _create_service,
         _leave,
-        _condemn,
+        _close_unanswered,
         _challenge,
-        _intent,
+        _intend_epoch,
     ):
-        decided = step(situation, change)
+        decided = step(inputs, change_id)
         if decided is not None:
             return decided
     return None
 
 
 def _join(
-    situation: plannerinputs.PlannerInputs, change: str
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    if situation.mine is not None or situation.draining:
+    if inputs.mine is not None or inputs.draining:
         return None
-    settings = situation.settings
-    linger = 0.0 if situation.checks_grants else settings.linger
+    settings = inputs.settings
+    linger = 0.0 if inputs.checks_grants else settings.linger
     record = records.LeaseRecord(
         service=settings.service,
         daemon=settings.daemon,
-        incarnation=situation.incarnation,
+        incarnation=inputs.incarnation,
         data_centre=settings.data_centre,
         peer_address=settings.peer_address,
         http_address=settings.http_address,
         lease_ms=round(settings.lease * 1000),
         linger_ms=round(linger * 1000),
-        accepting=situation.accepting,
+        accepting=inputs.accepting,
     )
-    builder = changes.Builder(situation.view, change)
+    builder = changes.Builder(inputs.view, change_id)
     builder.put(record)
     return builder.build(changes.ChangeKind.JOIN, "started")
 
 
-def _flag(
-    situation: plannerinputs.PlannerInputs, change: str
+def _update_flags(
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    mine = situation.mine
-    if mine is None:
+    own_record = inputs.mine
+    if own_record is None:
         return None
-    flagged = msgspec.structs.replace(
-        mine, accepting=situation.accepting, leaving=situation.draining
+    updated = msgspec.structs.replace(
+        own_record, accepting=inputs.accepting, leaving=inputs.draining
     )
-    if flagged == mine:
+    if updated == own_record:
         return None
-    builder = changes.Builder(situation.view, change)
-    builder.put(flagged)
-    reason = "accepting" if situation.accepting else "not-accepting"
+    builder = changes.Builder(inputs.view, change_id)
+    builder.put(updated)
+    reason = "accepting" if inputs.accepting else "not-accepting"
     return builder.build(changes.ChangeKind.UPDATE_FLAGS, reason)
 
 
 def _claim(
-    situation: plannerinputs.PlannerInputs, change: str
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    mine = situation.mine
-    if mine is None or not situation.lease_valid:
+    """Takes over slots of ended epochs, and closes their records."""
+    own_record = inputs.mine
+    if own_record is None or not inputs.lease_valid:
         return None
-    gains = [
+    claims = [
         changes.SlotClaim(record, fences)
-        for record in situation.view.leases()
-        if (fences := _claimable(situation, record)) is not None
+        for record in inputs.view.leases()
+        if (fences := _claimable_fences(inputs, record)) is not None
     ]
-    if not gains:
+    if not claims:
         return None
-    return changes.claim(situation.view, mine, gains, change)
+    return changes.claim(inputs.view, own_record, claims, change_id)
 
 
-def _claimable(
-    situation: plannerinputs.PlannerInputs, record: records.LeaseRecord
+def _claimable_fences(
+    inputs: plannerinputs.PlannerInputs, record: records.LeaseRecord
 ) -> dict[int, int] | None:
-    """Returns new fences of what may be taken; None leaves it alone."""
-    over = any(
+    """Returns the new fences of the slots to claim from a record.
+
+    Returns:
+        Fences by slot, or None if the record is to be left alone. An open
+        record whose epoch has ended is claimed even without slots for this
+        daemon, so that it gets closed.
+    """
+    has_ended = any(
         attempt.done
         and attempt.record.incarnation == record.incarnation
         and attempt.record.epoch == record.epoch
-        for attempt in situation.takeovers
+        for attempt in inputs.takeovers
     )
-    if record.is_open and not over:
+    if record.is_open and not has_ended:
         return None
-    holdings = slots.expand(record.runs)
+    assignments = slots.expand(record.runs)
     fences = {
-        slot: held.fence + 1
-        for slot, held in holdings.items()
-        if held.successor == situation.incarnation
+        slot: assignment.fence + 1
+        for slot, assignment in assignments.items()
+        if assignment.successor == inputs.incarnation
     }
     if not record.is_open:
-        if record.service == situation.settings.service:
-            fences.update(_stranded(situation, record))
+        if record.service == inputs.settings.service:
+            fences.update(_fences_without_successor(inputs, record))
         return fences or None
     return fences
 
 
-def _stranded(
-    situation: plannerinputs.PlannerInputs,
+def _fences_without_successor(
+    inputs: plannerinputs.PlannerInputs,
     record: records.LeaseRecord,
 ) -> dict[int, int]:
-    """Returns slots of a closed record whose successor is over as well.
+    """Returns new fences of closed slots whose successor has ended too.
 
-    The successor may have served under the next fence, unseen by the table,
-    so one fence is left out. The daemon that owned them takes them again, if
-    it has been started anew: its target has served their keys.
+    The successor may have served them under the next fence without recording
+    that in the table, so that fence is skipped. If the daemon that owned the
+    slots has been restarted, it gets them back, because its target has
+    served their keys.
     """
-    view = situation.view
+    view = inputs.view
     if view.cursor < view.revision(record.key):
         # The successor's record may not have been read yet.
         return {}
     members = [m for m in view.members(record.service) if m.can_own]
-    again = [m.incarnation for m in members if m.daemon == record.daemon]
-    heirs = again or [member.incarnation for member in members]
+    restarted = [m.incarnation for m in members if m.daemon == record.daemon]
+    candidates = restarted or [member.incarnation for member in members]
     fences = {}
     for run in record.runs:
         successor = view.lease(run.successor)
         if successor is not None and successor.is_open:
             continue
         if (
-            placement.choose_by_rendezvous(run.first, heirs)
-            == situation.incarnation
+            placement.choose_by_rendezvous(run.first, candidates)
+            == inputs.incarnation
         ):
             for slot in range(run.first, run.last + 1):
                 fences[slot] = run.fence + 2
     return fences
 
 
-def _vouch(
-    situation: plannerinputs.PlannerInputs, change: str
+def _close_earlier(
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
     """Closes records of earlier incarnations at this daemon's own address.
 
-    Only one process can be bound to an address, so the earlier one is gone;
-    what it handed over last is over after a lease and its linger. Where this
-    process itself was the earlier one, it knows when that is.
+    Only one process can be bound to an address, so the earlier one is gone.
+    Its lease and the last request that it sent to the target have ended
+    after the lease length and the linger. If this process itself was the
+    earlier incarnation, it knows that time exactly.
     """
-    settings = situation.settings
-    waited = situation.age >= plannerinputs.vouch_after(settings)
+    settings = inputs.settings
+    waited = inputs.age >= plannerinputs.vouch_after(settings)
     earlier = [
         record
-        for record in situation.view.leases()
+        for record in inputs.view.leases()
         if record.is_open
         and record.peer_address == settings.peer_address
-        and record.incarnation != situation.incarnation
-        and (waited or record.incarnation in situation.over)
+        and record.incarnation != inputs.incarnation
+        and (waited or record.incarnation in inputs.over)
     ]
     if not earlier:
         return None
-    builder = changes.Builder(situation.view, change)
+    builder = changes.Builder(inputs.view, change_id)
     for record in earlier:
         builder.close(record, slots.expand(record.runs))
     return builder.build(
@@ -224,58 +240,62 @@
     )
 
 
-def _answer(
-    situation: plannerinputs.PlannerInputs, change: str
+def _answer_challenge(
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Shows that this incarnation lives, where another asked for it."""
-    if situation.incarnation not in situation.view.challenges():
+    """Deletes a challenge to this incarnation: it is running."""
+    if inputs.incarnation not in inputs.view.challenges():
         return None
-    builder = changes.Builder(situation.view, change)
-    builder.end_challenge(situation.incarnation)
+    builder = changes.Builder(inputs.view, change_id)
+    builder.end_challenge(inputs.incarnation)
     return builder.build(changes.ChangeKind.ANSWER_CHALLENGE, "challenged")
 
 
 def _challenge(
-    situation: plannerinputs.PlannerInputs, change: str
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Asks an owner to show that it lives, if nobody here hears it.
+    """Challenges an owner that this daemon can't reach.
 
-    By now its witnesses would have ended its epoch, if most of them lived.
+    If most of its witnesses were running, they would have let a successor
+    end its epoch by now.
     """
-    if not situation.settings.anchor or not situation.table_ok:
+    if not inputs.settings.anchor or not inputs.table_ok:
         return None
-    view = situation.view
+    view = inputs.view
     for record in view.leases():
-        silent = situation.silent_for.get(record.incarnation, 0.0)
+        silent = inputs.silent_for.get(record.incarnation, 0.0)
         if (
             record.is_open
             and silent > _CHALLENGE_AFTER_S
             and record.incarnation not in view.challenges()
-            and _is_nearest(situation, record.incarnation)
+            and _is_responsible(inputs, record.incarnation)
         ):
-            builder = changes.Builder(view, change)
-            builder.challenge(record, situation.incarnation)
+            builder = changes.Builder(view, change_id)
+            builder.challenge(record, inputs.incarnation)
             return builder.build(changes.ChangeKind.CHALLENGE, "not-heard")
     return None
 
 
-def _condemn(
-    situation: plannerinputs.PlannerInputs, change: str
+def _close_unanswered(
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Closes a record whose challenge has stood unanswered for long enough."""
-    view = situation.view
-    limit = effects.challenge_timeout(situation.settings)
+    """Ends a challenge that was not answered in time, and closes the record.
+
+    Also deletes a challenge whose record is closed or deleted already.
+    """
+    view = inputs.view
+    limit = effects.challenge_timeout(inputs.settings)
     for name, challenge in view.challenges().items():
-        if not _is_nearest(situation, name):
+        if not _is_responsible(inputs, name):
             continue
         record = view.lease(name)
-        builder = changes.Builder(view, change)
+        builder = changes.Builder(view, change_id)
         builder.end_challenge(name)
         if record is None or not record.is_open:
             return builder.build(
                 changes.ChangeKind.CLOSE_UNANSWERED, "is-over-already"
             )
-        waited = situation.challenged_for.get(name, 0.0)
+        waited = inputs.challenged_for.get(name, 0.0)
         if record.epoch == challenge.epoch and waited > limit:
             builder.close(record, slots.expand(record.runs))
             return builder.build(
@@ -284,126 +304,145 @@
     return None
 
 
-def _is_nearest(situation: plannerinputs.PlannerInputs, item: str) -> bool:
-    """Returns whether a task that one daemon should do falls to this one."""
-    heard = [
+def _is_responsible(inputs: plannerinputs.PlannerInputs, item: str) -> bool:
+    """Returns whether this daemon has to do a task that only one should do.
+
+    Each daemon chooses by rendezvous hashing among those it can reach.
+    """
+    reachable = [
         record.incarnation
-        for record in situation.view.members()
-        if situation.is_reachable(record.incarnation)
+        for record in inputs.view.members()
+        if inputs.is_reachable(record.incarnation)
     ]
-    return placement.choose_by_rendezvous(item, heard) == situation.incarnation
+    return placement.choose_by_rendezvous(item, reachable) == inputs.incarnation
 
 
-def _found(
-    situation: plannerinputs.PlannerInputs, change: str
+def _create_service(
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    mine = situation.mine
-    settings = situation.settings
+    """Allocates the slots of the service, if nobody has done so yet."""
+    own_record = inputs.mine
+    settings = inputs.settings
     if (
-        mine is None
-        or not situation.keyed
-        or situation.age < settings.settle
-        or not situation.lease_valid
-        or not situation.accepting
-        or situation.view.service_record(settings.service) is not None
+        own_record is None
+        or not inputs.keyed
+        or inputs.age < settings.settle
+        or not inputs.lease_valid
+        or not inputs.accepting
+        or inputs.view.service_record(settings.service) is not None
     ):
         return None
-    if settings.ordered_keys and not _founds(situation, mine):
+    if settings.ordered_keys and not _is_creator(inputs, own_record):
         return None
     return changes.create_service(
-        situation.view, mine, settings.slot_count, change, settings.ordered_keys
+        inputs.view,
+        own_record,
+        settings.slot_count,
+        change_id,
+        settings.ordered_keys,
     )
 
 
-def _founds(
-    situation: plannerinputs.PlannerInputs, mine: records.LeaseRecord
+def _is_creator(
+    inputs: plannerinputs.PlannerInputs, own_record: records.LeaseRecord
 ) -> bool:
-    """Returns whether it is this member's turn to found the service.
+    """Returns whether this member should create the service now.
 
-    The others wait, so that not all of them write at the same time.
+    All members wait for those that can't own slots yet. Then the one with
+    the lowest incarnation id goes first, so that not all write at once.
     """
-    members = situation.view.members(mine.service)
+    members = inputs.view.members(own_record.service)
     if any(not record.can_own for record in members):
-        return situation.age > _FOUND_ANYHOW * situation.settings.settle
+        return inputs.age > _MAX_SETTLE_TIMES * inputs.settings.settle
     first = min(record.incarnation for record in members)
     return (
-        first == mine.incarnation
-        or situation.age > _FOUND_ANYHOW * situation.settings.settle
+        first == own_record.incarnation
+        or inputs.age > _MAX_SETTLE_TIMES * inputs.settings.settle
     )
 
 
 def _leave(
-    situation: plannerinputs.PlannerInputs, change: str
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    mine = situation.mine
+    """Deletes the record of a draining daemon that is not needed any more."""
+    own_record = inputs.mine
     if (
-        mine is None
-        or not situation.draining
-        or mine.runs
-        or situation.unrecorded
-        or _is_witness(situation)
+        own_record is None
+        or not inputs.draining
+        or own_record.runs
+        or inputs.unrecorded
+        or _is_witness(inputs)
     ):
         return None
-    builder = changes.Builder(situation.view, change)
-    builder.close(mine, {})
+    builder = changes.Builder(inputs.view, change_id)
+    builder.close(own_record, {})
     return builder.build(changes.ChangeKind.LEAVE, "drained")
 
 
-def _is_witness(situation: plannerinputs.PlannerInputs) -> bool:
+def _is_witness(inputs: plannerinputs.PlannerInputs) -> bool:
     return any(
-        situation.incarnation in record.witnesses
-        for record in situation.view.members()
+        inputs.incarnation in record.witnesses
+        for record in inputs.view.members()
     )
 
 
-def _intent(
-    situation: plannerinputs.PlannerInputs, change: str
+def _intend_epoch(
+    inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> EpochIntent | None:
-    del change
-    mine = situation.mine
-    if mine is None or not situation.table_ok:
+    """Returns the next epoch, if witnesses, successors or slots change."""
+    del change_id
+    own_record = inputs.mine
+    if own_record is None or not inputs.table_ok:
         return None
-    witnesses = _witnesses(situation, mine)
+    witnesses = _choose_witnesses(inputs, own_record)
     reason = None
-    if witnesses != mine.witnesses:
+    if witnesses != own_record.witnesses:
         reason = "witnesses"
-    elif _successors_stale(situation, mine):
+    elif _has_stale_successors(inputs, own_record):
         reason = "successors"
-    elif _moves(situation):
+    elif _plan_own_moves(inputs):
         reason = "moves"
     return EpochIntent(witnesses, reason) if reason else None
 
 
-def _witnesses(
-    situation: plannerinputs.PlannerInputs, mine: records.LeaseRecord
+def _choose_witnesses(
+    inputs: plannerinputs.PlannerInputs, own_record: records.LeaseRecord
 ) -> tuple[str, ...]:
-    unresponsive = plannerinputs.unresponsive(situation)
+    unresponsive = plannerinputs.unresponsive(inputs)
     chosen = placement.choose_witnesses(
-        mine,
-        situation.view.members(),
-        situation.settings.witnesses,
-        lambda name: name in unresponsive or not situation.is_reachable(name),
+        own_record,
+        inputs.view.members(),
+        inputs.settings.witnesses,
+        lambda name: name in unresponsive or not inputs.is_reachable(name),
     )
-    # A lease with a majority of what is left is better than none.
-    return chosen or mine.witnesses
+    # If no candidate is left, a majority of the current witnesses may still
+    # keep the lease valid.
+    return chosen or own_record.witnesses
 
 
-def _successors_stale(
-    situation: plannerinputs.PlannerInputs, mine: records.LeaseRecord
+def _has_stale_successors(
+    inputs: plannerinputs.PlannerInputs, own_record: records.LeaseRecord
 ) -> bool:
-    holdings = slots.expand(mine.runs)
-    members = situation.view.members(mine.service)
-    wanted = placement.choose_successors(mine, holdings, members)
+    assignments = slots.expand(own_record.runs)
+    members = inputs.view.members(own_record.service)
+    wanted = placement.choose_successors(own_record, assignments, members)
     return any(
-        held.successor != holdings[slot].successor and held.successor
-        for slot, held in wanted.items()
+        assignment.successor != assignments[slot].successor
+        and assignment.successor
+        for slot, assignment in wanted.items()
     )
 
 
 def placement_members(
     view: records.TableView, service: str, loads: dict[str, float]
 ) -> list[placement.Member]:
-    """Returns a service's daemons with their weights, slots and loads."""
+    """Returns a service's daemons with their weights, slots and loads.
+
+    Args:
+        view: This daemon's copy of the table.
+        service: The service.
+        loads: Requests per second by incarnation, as far as reported.
+    """
     return [
         placement.Member(
             incarnation=record.incarnation,
@@ -421,85 +460,86 @@
     ]
 
 
-def _moves(
-    situation: plannerinputs.PlannerInputs,
+def _plan_own_moves(
+    inputs: plannerinputs.PlannerInputs,
 ) -> tuple[placement.Move, ...]:
     """Returns the moves that this daemon should make now."""
-    view = situation.view
-    service = situation.settings.service
+    view = inputs.view
+    service = inputs.settings.service
     service_record = view.service_record(service)
-    if not situation.keyed or service_record is None or situation.unrecorded:
+    if not inputs.keyed or service_record is None or inputs.unrecorded:
         return ()
-    unclaimed = any(
+    has_unclaimed = any(
         record.runs and not record.is_open and record.service == service
         for record in view.leases()
     )
-    if unclaimed:
-        # Claims come first: they may bring the quotas about by themselves.
+    if has_unclaimed:
+        # Claims come first, because they may balance the slots by themselves.
         return ()
-    mine = situation.mine
-    policy = view.policy(service, mine.data_centre)
-    present = placement_members(view, service, situation.loads)
-    empty = any(member.weight and not member.owned for member in present)
-    if situation.has_low_load and situation.accepting and not empty:
+    own_record = inputs.mine
+    policy = view.policy(service, own_record.data_centre)
+    members = placement_members(view, service, inputs.loads)
+    has_empty = any(member.weight and not member.owned for member in members)
+    if inputs.has_low_load and inputs.accepting and not has_empty:
         return ()
     planned = placement.plan_moves(
         service_record.slots,
-        present,
-        situation.rates,
-        max(policy.tolerance, situation.settings.min_tolerance) / 100,
-        situation.settings.load_half_life,
+        members,
+        inputs.rates,
+        max(policy.tolerance, inputs.settings.min_tolerance) / 100,
+        inputs.settings.load_half_life,
         placement.plan_block_moves
-        if situation.settings.ordered_keys
+        if inputs.settings.ordered_keys
         else placement.plan_slot_moves,
     )
-    own = [
+    own_moves = [
         move
         for move in planned
-        if move.source == situation.incarnation
-        and not situation.is_pinned(move.slot)
+        if move.source == inputs.incarnation and not inputs.is_pinned(move.slot)
     ]
-    most = situation.settings.batch
-    if situation.accepting:
-        most = min(most, situation.most_moves)
-    return tuple(own[:most])
+    limit = inputs.settings.batch
+    if inputs.accepting:
+        limit = min(limit, inputs.most_moves)
+    return tuple(own_moves[:limit])
 
 
 def plan_epoch_write(
     intent: EpochIntent,
-    situation: plannerinputs.PlannerInputs,
-    change: str,
-    hand_off: SlotRelease | None = None,
+    inputs: plannerinputs.PlannerInputs,
+    change_id: str,
+    release: SlotRelease | None = None,
 ) -> EpochWrite | None:
-    """Returns the write that begins the next epoch, or None.
+    """Returns the write that begins the next epoch.
 
-    The moves are chosen now rather than with the intent, so that none of
-    their slots has a request in progress.
+    The moves are chosen now and not with the intent, so that no slot is
+    moved that has been pinned in between.
 
     Args:
-        intent: The epoch wanted.
-        situation: What is known.
-        change: A fresh id for the write.
-        hand_off: Moves that were chosen before, with what the target said
-            when it released their slots.
+        intent: The epoch that is wanted.
+        inputs: The data to decide from.
+        change_id: A fresh id for the write.
+        release: Moves chosen before, whose slots the target has released.
+
+    Returns:
+        The write, or None if there is nothing left to change.
     """
-    mine = situation.mine
-    if mine is None:
+    own_record = inputs.mine
+    if own_record is None:
         return None
-    if hand_off is None:
-        hand_off = SlotRelease(_moves(situation))
-    moves = hand_off.moves
+    if release is None:
+        release = SlotRelease(_plan_own_moves(inputs))
+    moves = release.moves
     if intent.reason == "moves" and not moves:
         return None
-    target = msgspec.structs.replace(
-        mine, epoch=mine.epoch + 1, witnesses=intent.witnesses
+    new_record = msgspec.structs.replace(
+        own_record, epoch=own_record.epoch + 1, witnesses=intent.witnesses
     )
     reason = intent.reason
     if moves and reason != "moves":
         reason += "+moves"
     return EpochWrite(
         changes.reconfigure(
-            situation.view, target, moves, change, reason, hand_off.handover
+            inputs.view, new_record, moves, change_id, reason, release.handover
         ),
         moves,
     )
--- a/tamarackgap/ownership/plannerinputs.py
+++ b/tamarackgap/ownership/plannerinputs.py
@@ -1,4 +1,4 @@
-"""All that a decision about the table rests on."""
+"""The data from which the planner decides on changes of the table."""
 
 from collections.abc import Callable
 
@@ -8,24 +8,26 @@
 from tamarackgap.ownership import effects, lease, takeover
 from tamarackgap.placement import records
 
+# A witness is replaced if it has not answered for this many lease lengths.
 _SILENT_LEASES = 2.0
 
 
 class InputsSignature(msgspec.Struct, frozen=True):
-    """The part of a situation that changes seldom.
+    """The part of the planner's inputs that rarely changes.
 
     Attributes:
-        view: Version of the rows known here.
+        view: Version of this daemon's copy of the table.
         accepting: Whether the daemon takes more slots.
-        lease_valid: Whether the lease holds.
-        table_ok: Whether the table answered lately.
-        done: Number of epochs that were ended here.
-        unrecorded: Number of slots that the table does not show yet.
-        unresponsive: Witnesses that do not answer or renew no more.
-        has_low_load: Whether the target has little to do.
-        over: Earlier incarnations of this process that are over.
-        waited: Whether what an earlier process at this address handed over
-            is over.
+        lease_valid: Whether the daemon's lease is valid.
+        table_ok: Whether the last attempt to read the table succeeded.
+        done: Number of other owners' epochs that this daemon knows to have
+            ended.
+        unrecorded: Number of owned slots not yet recorded in the table.
+        unresponsive: Witnesses that do not answer or refuse to renew.
+        has_low_load: Whether the target has little load.
+        over: Earlier incarnations of this process that have ended.
+        waited: Whether the lease of an earlier process at this address, and
+            the requests that it sent to its target, have ended.
     """
 
     view: int
@@ -41,34 +43,35 @@
 
 
 class PlannerInputs(msgspec.Struct, frozen=True):
-    """All that a decision rests on.
+    """Everything that the planner's decision depends on.
 
     Attributes:
-        view: Rows of the table known here.
-        settings: What the daemon is told about itself.
-        incarnation: This process start's id.
+        view: This daemon's copy of the table.
+        settings: The daemon's settings.
+        incarnation: The daemon's current incarnation.
         accepting: Whether the daemon takes more slots.
-        checks_grants: Whether the target stops by itself at a lease's end.
-        draining: Whether it gives its slots away to leave.
-        table_ok: Whether the table answered lately.
-        lease_valid: Whether the lease holds now.
+        checks_grants: Whether the target itself stops at a lease's end.
+        draining: Whether the daemon moves all its slots away to leave.
+        table_ok: Whether the last attempt to read the table succeeded.
+        lease_valid: Whether the daemon's lease is valid now.
         grants: Grants of the current epoch.
-        takeovers: Attempts to end other daemons' epochs.
-        unrecorded: Fences of the slots that the table does not show yet.
-        is_pinned: Tells whether requests of a slot are in progress.
-        rates: Requests a second of each slot served here.
-        loads: Requests a second of each member of which it is known.
-        most_moves: Most slots that may be given away now.
-        age: Seconds since the incarnation began.
+        takeovers: Attempts to end other owners' epochs.
+        unrecorded: Fences of owned slots not yet recorded in the table.
+        is_pinned: Tells whether a slot must not be moved now.
+        rates: Requests per second of each slot served here.
+        loads: Requests per second of each member that has reported lately.
+        most_moves: Largest number of slots that may be moved away now.
+        age: Time since the incarnation began, seconds.
         now: Monotonic time, seconds.
-        keyed: Whether the service's keys have owners at all.
+        keyed: Whether the service's keys have owners.
         has_low_load: Whether the target has so little load that its
             slots need not move.
-        is_reachable: Tells whether an incarnation has been heard lately.
-        silent_for: Seconds since each incarnation that is not heard was
-            first missed.
-        challenged_for: Seconds since each challenge was first seen here.
-        over: Earlier incarnations of this process whose leases have ended.
+        is_reachable: Tells whether an incarnation has been heard from lately.
+        silent_for: Time for which each unreachable incarnation has been
+            missed, seconds.
+        challenged_for: Time for which this daemon has seen each challenge,
+            seconds.
+        over: Earlier incarnations of this process that have ended.
     """
 
     view: records.TableView
@@ -96,7 +99,7 @@
     over: frozenset[str] = frozenset()
 
     def signature(self) -> InputsSignature:
-        """Returns what has to change before another decision is due."""
+        """Returns what has to change before the planner has to run again."""
         done = sum(attempt.done for attempt in self.takeovers)
         return InputsSignature(
             self.view.version,
@@ -113,22 +116,23 @@
 
     @property
     def mine(self) -> records.LeaseRecord | None:
-        """This incarnation's record."""
+        """The current incarnation's lease record, or None."""
         return self.view.lease(self.incarnation)
 
 
 def vouch_after(settings: effects.Settings) -> float:
-    """Returns when an earlier process's lease is over, seconds from a start.
+    """Returns how long after its start a process may close earlier records.
 
-    What it handed over last ends with its lease and linger.
+    By then the lease of an earlier process at its address has ended, and so
+    has the last request that it sent to its target. In seconds.
     """
     return settings.lease * (1 + settings.drift) + settings.linger
 
 
-def unresponsive(situation: PlannerInputs) -> set[str]:
-    """Returns the witnesses that do not answer or renew no more."""
-    grants = situation.grants
+def unresponsive(inputs: PlannerInputs) -> set[str]:
+    """Returns the witnesses that do not answer or refuse to renew."""
+    grants = inputs.grants
     return grants.refusing_witnesses() | grants.silent_witnesses(
-        types.Seconds(situation.now),
-        types.Seconds(situation.settings.lease * _SILENT_LEASES),
+        types.Seconds(inputs.now),
+        types.Seconds(inputs.settings.lease * _SILENT_LEASES),
     )
