--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -1,7 +1,7 @@
 """The ownership protocol of one daemon, without any I/O.
 
-Clock, randomness and transport are arguments: the caller passes the time
-in, and carries out the effects that are handed back.
+The caller passes in the time and the source of randomness, and carries out
+the effects that the protocol returns.
 """
 
 import random
@@ -26,24 +26,31 @@
 from tamarackgap.peers import messages
 from tamarackgap.placement import records, slotowners, slots
 
-_SUSPECT_SHARE = 0.8
-_COMMIT_AGAIN_S = 0.2
-# A write that has had no answer for so long is put again, seconds.
-_ANSWER_LIMIT_S = 2.0
-# A lease that ended is given up after this share of its length: renewals go
-# out each quarter, and witnesses that still grant have answered by then.
-_LAPSED_SHARE = 0.4
-# After losing a lease, changes follow each other without pauses for so long:
-# a few writes and a witness's answer, seconds.
+# A witness suspects an owner that has not renewed for this many lease lengths.
+_SUSPECT_AFTER_LEASES = 0.8
+# Pause before a transaction with an unknown outcome is sent again.
+_COMMIT_RETRY_S = 0.2
+# A transaction without any result is sent again after this time.
+_COMMIT_TIMEOUT_S = 2.0
+# An expired lease is given up after this many lease lengths. Renewals are
+# sent every quarter of a length, so witnesses that still grant have answered
+# by then.
+_LAPSE_LEASES = 0.4
+# For this long after a lost lease, the planner runs right after each
+# committed change. Rejoining takes a few writes and the witnesses' answers.
 _REJOIN_S = 3.0
-# After these the slots of a closed record wait for their claim.
-_CLAIMED_NEXT = frozenset(
+# After these changes the planner runs at once: slots of closed records are
+# not served until they are claimed.
+_KINDS_BEFORE_CLAIM = frozenset(
     {changes.ChangeKind.CLOSE_GONE, changes.ChangeKind.CLOSE_UNANSWERED}
 )
 
 
 class Ownership:
-    """All that one incarnation owns, witnesses and takes over."""
+    """The state of one daemon: what it owns, witnesses and takes over.
+
+    A daemon starts a new incarnation each time it loses its lease.
+    """
 
     def __init__(
         self,
@@ -52,12 +59,14 @@
         is_pinned: Callable[[int], bool],
         now: float,
     ) -> None:
-        """Creates a daemon that has not joined yet.
+        """Creates a daemon that has no record in the table yet.
 
         Args:
-            settings: What the daemon is told about itself.
+            settings: The daemon's settings.
             rng: Source of ids and jitter.
-            is_pinned: Tells whether requests of a slot are in progress.
+            is_pinned: Tells whether a slot must not be moved now, because
+                requests are in progress or the target has not confirmed
+                its grant.
             now: Monotonic time, seconds.
         """
         self._settings = settings
@@ -70,32 +79,30 @@
         self._checks_grants = False
         self._draining = False
         self._table_ok = False
-        # Whether the service's keys have owners at all.
+        # Whether the service's keys have owners.
         self.keyed = True
-        # Whether the target has so little to do that its slots may stay.
+        # Whether the target has so little load that its slots need not move.
         self.has_low_load = False
-        # Tells whether an incarnation has been heard lately: a new witness
-        # must answer, or the write that names it waits in vain.
+        # Tells whether an incarnation has been heard from lately. A witness
+        # that can't be reached would never grant the epoch that names it.
         self.is_reachable: Callable[[str], bool] = lambda name: True
-        # Rises whenever other slots are owned than before.
+        # Increases with each change of the owned slots.
         self.slots_version = 0
-        self._renewal = renewal.LeaseRenewer(
+        self._renewer = renewal.LeaseRenewer(
             settings.lease, self._view, self._outbox, now
         )
-        # Up to when what the table says is known here, seconds.
         self._table_as_of = now
         self._own_witness: witnesshandler.WitnessHandler | None = None
         self._epoch_change = epochchange.EpochChange(
-            self._renewal, self._outbox, settings.ordered_keys
+            self._renewer, self._outbox, settings.ordered_keys
         )
         self._ended = endedincarnations.EndedIncarnations()
         self._liveness = liveness.LivenessTracker()
         self._rejoin_until = now
-        self._begin(now)
+        self._start_incarnation(now)
 
-    def _begin(self, now: float) -> None:
-        # What an ended incarnation has promised as a witness still holds:
-        # the process remembers it.
+    def _start_incarnation(self, now: float) -> None:
+        # What the ended incarnation has promised as a witness stays binding.
         if self._own_witness is not None:
             self._ended.keep(self._incarnation, self._own_witness)
         self._incarnation = types.Incarnation(
@@ -103,11 +110,13 @@
         )
         self._outbox.incarnation = self._incarnation
         self.slots_version += 1
-        self._started = now
-        self._lapsed_at = now
+        self._started_at = now
+        self._lapsed_since = now
         self._joined = False
         self._own_witness = witnesshandler.WitnessHandler(
-            self._settings.lease * _SUSPECT_SHARE, self._view, self._outbox
+            self._settings.lease * _SUSPECT_AFTER_LEASES,
+            self._view,
+            self._outbox,
         )
         self._succession = succession.Succession(
             self._settings.drift,
@@ -116,34 +125,34 @@
             self._outbox,
             self._own_witness.seal,
         )
-        late = self._renewal.lateness
-        self._renewal = renewal.LeaseRenewer(
+        lateness = self._renewer.lateness
+        self._renewer = renewal.LeaseRenewer(
             self._settings.lease, self._view, self._outbox, now
         )
-        self._renewal.lateness = late
+        self._renewer.lateness = lateness
         self._owned: dict[int, effects.OwnedSlot] = {}
         self._pending: changes.Change | None = None
-        self._commit_at = 0.0
+        self._commit_retry_at = 0.0
         self._epoch_change.end_hand_off()
         self._epoch_change = epochchange.EpochChange(
-            self._renewal, self._outbox, self._settings.ordered_keys
+            self._renewer, self._outbox, self._settings.ordered_keys
         )
-        self._changed_at = now
-        self._sharing = loads.LoadExchange(
+        self._slots_changed_at = now
+        self._load_exchange = loads.LoadExchange(
             self._settings, self._view, self._outbox, self._rng, now
         )
         self._plan_at = now
-        # What the last decision rested on, where there was nothing to do.
-        self._idle: plannerinputs.InputsSignature | None = None
+        # The planner's inputs at its last run, if there was nothing to do.
+        self._idle_signature: plannerinputs.InputsSignature | None = None
         self._idle_until = now
 
     @property
     def incarnation(self) -> types.Incarnation:
-        """This process start's id; a new one after losing a lease."""
+        """The current incarnation; each lost lease starts a new one."""
         return self._incarnation
 
     def is_own(self, incarnation: str) -> bool:
-        """Returns whether an id is, or was lately, this process's."""
+        """Returns whether an id is this process's, now or until lately."""
         return (
             incarnation == self._incarnation
             or self._ended.witness(incarnation) is not None
@@ -151,28 +160,28 @@
 
     @property
     def settings(self) -> effects.Settings:
-        """What the daemon is told about itself."""
+        """The daemon's settings."""
         return self._settings
 
     @property
     def view(self) -> records.TableView:
-        """The rows of the table known here."""
+        """This daemon's copy of the table."""
         return self._view
 
     @property
     def slot_owners(self) -> slotowners.SlotOwners:
-        """Slot owners known here."""
+        """The slot owners that this daemon knows of."""
         return self._slot_owners
 
     @property
     def epoch(self) -> int:
-        """The lease's epoch."""
-        return self._renewal.own_lease.current.epoch
+        """The lease's current epoch; 0 before the first one."""
+        return self._renewer.own_lease.current.epoch
 
     @property
     def renewal_lateness(self) -> float:
         """Largest delay of a renewal so far, seconds."""
-        return self._renewal.lateness
+        return self._renewer.lateness
 
     @property
     def accepting(self) -> bool:
@@ -181,17 +190,17 @@
 
     @property
     def draining(self) -> bool:
-        """Whether the daemon is giving its slots away to leave."""
+        """Whether the daemon moves all its slots away to leave."""
         return self._draining
 
     @property
     def owned(self) -> dict[int, effects.OwnedSlot]:
-        """All slots held, recorded in the table or not."""
+        """All owned slots, recorded in the table or not."""
         return {**self._owned, **self._succession.held}
 
     @property
     def unrecorded(self) -> dict[int, effects.OwnedSlot]:
-        """Slots held under seals that the table does not show yet."""
+        """Slots owned through seals but not yet recorded in the table."""
         return self._succession.held
 
     @property
@@ -201,7 +210,7 @@
 
     @property
     def pending(self) -> changes.Change | None:
-        """The transaction whose outcome is awaited, if any."""
+        """The change whose outcome is not known yet, or None."""
         return self._pending
 
     @property
@@ -211,22 +220,26 @@
 
     @property
     def table_as_of(self) -> float:
-        """Up to when what the table says is known here, seconds."""
+        """Time up to which the copy of the table is current, seconds."""
         return self._table_as_of
 
     def lease_until(self) -> float:
-        """Returns the end of the lease on this daemon's clock, seconds."""
-        until = self._renewal.own_lease.valid_until()
+        """Returns the end of the lease on this daemon's clock, seconds.
+
+        If the anchor time is set, the lease also ends when the table has not
+        been read for that long.
+        """
+        until = self._renewer.own_lease.valid_until()
         if self._settings.anchor:
             until = min(until, self._table_as_of + self._settings.anchor)
         return until
 
     def grants(self) -> lease.EpochGrants:
         """Returns the grants of the current epoch."""
-        return self._renewal.own_lease.current
+        return self._renewer.own_lease.current
 
     def find(self, slot: int) -> effects.OwnedSlot | None:
-        """Returns a slot's holding here, or None."""
+        """Returns a slot if this daemon owns it, or None."""
         return self._succession.find(slot) or self._owned.get(slot)
 
     def refusal(self, slot: int, now: float) -> types.Reason | None:
@@ -240,14 +253,15 @@
         return None
 
     def take_effects(self) -> list[effects.Effect]:
-        """Returns the effects since the last call."""
+        """Returns the effects since the last call, and clears them."""
         return self._outbox.take()
 
     @property
     def linger(self) -> float:
-        """How long a run may go on after the lease's end, seconds.
+        """How long a request may execute after the lease's end, seconds.
 
-        It is what the table tells successors, whatever the target is now.
+        The value in the own record counts, because successors wait for it,
+        even if the target has changed since.
         """
         record = self._view.lease(self._incarnation)
         return record.linger_ms / 1000 if record is not None else 0.0
@@ -255,63 +269,73 @@
     def set_target_state(
         self, accepting: bool, checks_grants: bool = False
     ) -> None:
-        """Says what the target beside this daemon can do.
+        """Sets what the local target can do.
 
         Args:
-            accepting: Whether it takes work.
+            accepting: Whether it accepts requests.
             checks_grants: Whether it stops by itself at the lease's end.
-                Counts when an incarnation joins.
+                Takes effect when the next incarnation joins.
         """
         self._accepting = accepting
         self._checks_grants = checks_grants
 
     def report_load(self, rates: dict[int, float], now: float) -> None:
-        """Says what load the slots bring, and tells other members of it.
+        """Records the load of the own slots, and reports it to members.
 
         Args:
-            rates: Requests a second of each slot.
+            rates: Requests per second of each slot.
             now: Monotonic time, seconds.
         """
-        self._sharing.share(rates, now, self._changed_at)
+        self._load_exchange.share(rates, now, self._slots_changed_at)
 
     def drain(self) -> None:
-        """Begins to give all slots away."""
+        """Starts moving all slots away, in order to leave."""
         self._draining = True
 
     def release_lease(self, now: float) -> None:
-        """Gives the lease up at once, for use while the table is down.
+        """Gives up the lease at once, and starts a new incarnation.
 
-        The successors need not wait then. Nothing may be in progress.
+        Successors then need not wait for the lease to expire, and need no
+        table. No request may be in progress.
         """
-        for name in self._renewal.own_lease.current.witnesses:
+        for name in self._renewer.own_lease.current.witnesses:
             self._outbox.send(name, messages.Release(name, self.epoch))
         self._outbox.log("released", slots=len(self.owned))
         self._ended.ends(self._incarnation, now + self.linger)
-        self._begin(now)
+        self._start_incarnation(now)
 
     def merge(self, rows: list[records.Row], now: float) -> None:
-        """Takes rows of the table in, from whatever source."""
+        """Applies rows that were read from the table or sent by a daemon."""
         changed = self._view.merge(rows)
         for key in changed:
             if not key.startswith(records.LEASE_PREFIX):
                 continue
             record = self._view.lease(key[len(records.LEASE_PREFIX) :])
             if record is None or not record.is_open:
-                # Slots may have become free for a claim.
+                # Slots may have become free to claim.
                 self._plan_at = now
             if record is None:
                 continue
             self._slot_owners.update_from_record(record)
-            if self._is_stranded(record):
-                # Who may take its slots is known once this has been read.
+            if self._is_claim_unclear(record):
                 self._outbox.put(effects.ReadTable(urgent=True))
         if records.lease_key(self._incarnation) in changed:
-            self._adopt(now)
+            self._apply_own_record(now)
 
-    def _is_stranded(self, record: records.LeaseRecord) -> bool:
-        ours = record.service == self._settings.service
-        unread = self._view.cursor < self._view.revision(record.key)
-        return ours and bool(record.runs) and not record.is_open and unread
+    def _is_claim_unclear(self, record: records.LeaseRecord) -> bool:
+        """Returns whether a table read has to show who may claim slots.
+
+        The closed record is newer than the last table read, so its
+        successors' records may have changed without being known here.
+        """
+        is_own_service = record.service == self._settings.service
+        is_unread = self._view.cursor < self._view.revision(record.key)
+        return (
+            is_own_service
+            and bool(record.runs)
+            and not record.is_open
+            and is_unread
+        )
 
     def apply_table_read(
         self,
@@ -320,19 +344,20 @@
         now: float,
         as_of: float | None = None,
     ) -> None:
-        """Takes in a read of the table that went up to `revision`.
+        """Applies a read of the table up to `revision`.
 
         Args:
-            rows: The rows.
+            rows: The rows that have changed.
             revision: The table's revision.
             now: Monotonic time, seconds.
-            as_of: When the table was in that state at the earliest; `now`
-                if None.
+            as_of: Earliest time at which the table was in that state,
+                seconds; `now` if None.
         """
         self._table_ok = True
         self.merge(rows, now)
-        # The record of a challenged owner may be closed at any time, unseen,
-        # until its answer is in the table.
+        # While this owner is challenged, its record may be closed right
+        # after a read. So reads don't prolong the lease until the answer to
+        # the challenge is in the table.
         if self._incarnation not in self._view.challenges():
             self._table_as_of = max(
                 self._table_as_of, now if as_of is None else as_of
@@ -340,7 +365,7 @@
         self._view.advance(types.Revision(revision))
 
     def record_table_failure(self) -> None:
-        """Notes that the table did not answer; no move begins now."""
+        """Records that a table read failed, so that no epoch change begins."""
         self._table_ok = False
 
     def handle_commit_result(
@@ -350,20 +375,28 @@
         rows: list[records.Row],
         now: float,
     ) -> None:
-        """Takes in what is known of a transaction.
+        """Handles the outcome of a transaction.
+
+        Results of other transactions than the pending one are ignored, such
+        as a late result for an ended incarnation.
 
-        Only the pending one is decided by it: a late answer to an earlier
-        one, or to one of an ended incarnation, says nothing of this one.
+        A transaction with an unknown outcome stays pending and is sent again
+        until it is committed or its checks fail. Only then is it certain
+        that no delayed copy of it can be committed later.
 
-        An unknown outcome stays pending and the same transaction is put
-        again, until its checks fail or it lands: only then is it certain
-        that no delayed copy can still land.
+        Args:
+            change_id: The id of the transaction.
+            state: Its outcome.
+            rows: Its rows as they are in the table now, as far as known.
+            now: Monotonic time, seconds.
         """
         change = self._pending
         if change is None or change.transaction.change != change_id:
             return
         if state is effects.CommitState.UNKNOWN:
-            self._commit_at = now + _COMMIT_AGAIN_S * (1 + self._rng.random())
+            self._commit_retry_at = now + _COMMIT_RETRY_S * (
+                1 + self._rng.random()
+            )
             return
         self._pending = None
         incarnation = self._incarnation
@@ -378,7 +411,7 @@
         if incarnation != self._incarnation:
             return
         if state is effects.CommitState.COMMITTED:
-            if now < self._rejoin_until or change.kind in _CLAIMED_NEXT:
+            if now < self._rejoin_until or change.kind in _KINDS_BEFORE_CLAIM:
                 self._plan_at = now
             self._outbox.broadcast(messages.Rows(tuple(rows)))
         if change.kind is changes.ChangeKind.RECONFIGURE:
@@ -386,18 +419,18 @@
         self._epoch_change.end_hand_off()
 
     def receive(self, envelope: messages.Envelope, now: float) -> None:
-        """Takes a message of another daemon in."""
+        """Handles a message from another daemon."""
         message = envelope.message
         sender = envelope.sender
         answer = None
-        asked = getattr(message, "witness", types.NO_INCARNATION)
-        witness = self._witness(asked)
+        witness_id = getattr(message, "witness", types.NO_INCARNATION)
+        witness = self._find_witness(witness_id)
         match message:
             case messages.Renew() if witness is not None:
-                self._heard_revision(message.revision)
+                self._check_revision(message.revision)
                 answer = witness.renew(sender, message, now)
             case messages.RenewReply(owner=name) if name == self._incarnation:
-                self._granted(sender, message, now)
+                self._handle_renew_reply(sender, message, now)
             case messages.SuspectOwner():
                 self._suspect(message.owner, message.epoch, now)
             case messages.Seal() if witness is not None:
@@ -407,7 +440,7 @@
             case messages.Retire() if witness is not None:
                 answer = witness.retire(sender, message)
             case messages.RetireReply(owner=name) if name == self._incarnation:
-                self._renewal.retired(sender, message, now)
+                self._renewer.retired(sender, message, now)
             case messages.Release() if witness is not None:
                 witness.release(sender, message)
             case messages.Rows():
@@ -415,105 +448,110 @@
             case messages.Claim():
                 self._succession.claimed(sender, message)
             case messages.LoadReport(rate=rate):
-                self._sharing.known.note(sender, rate, now)
+                self._load_exchange.known.note(sender, rate, now)
         if answer is not None:
-            # The owner knows its witness by the name that it asked.
-            self._outbox.put(effects.Send(asked, envelope.address, answer))
-        self._progress(now)
+            # The sender of the answer is the incarnation that was asked,
+            # even if it has ended: the owner knows its witness by that id.
+            self._outbox.put(effects.Send(witness_id, envelope.address, answer))
+        self._advance_takeovers(now)
 
-    def _witness(self, name: str) -> witnesshandler.WitnessHandler | None:
-        """Returns what this process has promised under a name, or None."""
+    def _find_witness(self, name: str) -> witnesshandler.WitnessHandler | None:
+        """Returns the witness of this process under an id, or None."""
         if name == self._incarnation:
             return self._own_witness
         return self._ended.witness(name)
 
     def tick(self, now: float) -> None:
-        """Does all that is due; to be called every few milliseconds."""
-        self._renewal.renew(now)
+        """Does all that is due.
+
+        To be called several times per renewal interval.
+        """
+        self._renewer.renew(now)
         for record in self._silent_owners(now):
             self._suspect(record.incarnation, record.epoch, now)
         self._check_lapse(now)
-        self._progress(now)
-        self._repeat(now)
+        self._advance_takeovers(now)
+        self._retry(now)
         self._plan(now)
 
     def _silent_owners(self, now: float) -> list[records.LeaseRecord]:
-        """Returns silent owners, whichever incarnation witnesses them."""
-        found = self._ended.silent_owners(self._outbox, now)
-        return found + self._own_witness.silent_owners(now)
+        """Returns silent owners that any of this process's ids witnesses."""
+        owners = self._ended.silent_owners(self._outbox, now)
+        return owners + self._own_witness.silent_owners(now)
 
     # The owner's side.
 
-    def _granted(
+    def _handle_renew_reply(
         self, sender: str, message: messages.RenewReply, now: float
     ) -> None:
-        self._heard_revision(message.revision)
-        self._renewal.granted(sender, message, now)
-        if self._renewal.is_ended():
-            self._depose("sealed-by-majority", now)
+        self._check_revision(message.revision)
+        self._renewer.granted(sender, message, now)
+        if self._renewer.is_ended():
+            self._lose_lease("sealed-by-majority", now)
 
     def _check_lapse(self, now: float) -> None:
-        """Starts afresh where the lease can't be had back.
+        """Starts a new incarnation if the lease has expired for good.
 
-        With most witnesses gone nobody could end this epoch either. A new
-        incarnation at this address vouches that the old one is over. While
-        the table is down the old epoch is kept: it may still come back.
+        If most witnesses are gone, no successor can end the epoch either. A
+        new incarnation at the same address can close the old record instead.
+        While the table does not answer, the epoch is kept, because witnesses
+        may still renew it.
         """
-        if now < self._renewal.own_lease.valid_until() or not self._table_ok:
-            self._lapsed_at = now
+        if now < self._renewer.own_lease.valid_until() or not self._table_ok:
+            self._lapsed_since = now
         elif self.epoch and (
-            now - self._lapsed_at > self._settings.lease * _LAPSED_SHARE
+            now - self._lapsed_since > self._settings.lease * _LAPSE_LEASES
         ):
-            self._depose("lapsed", now)
+            self._lose_lease("lapsed", now)
 
-    def _depose(self, reason: str, now: float) -> None:
+    def _lose_lease(self, reason: str, now: float) -> None:
         self._outbox.log("lease_lost", reason=reason, slots=len(self.owned))
-        until = max(now, self._renewal.own_lease.valid_until())
+        until = max(now, self._renewer.own_lease.valid_until())
         self._ended.ends(self._incarnation, until + self.linger)
         self._rejoin_until = now + _REJOIN_S
-        self._begin(now)
+        self._start_incarnation(now)
 
-    def _adopt(self, now: float) -> None:
-        """Makes this daemon's state follow its own record in the table."""
+    def _apply_own_record(self, now: float) -> None:
+        """Updates epoch and owned slots from the own record in the table."""
         record = self._view.lease(self._incarnation)
         if record is None or not record.is_open:
             left = self._draining and not self.owned
-            self._depose("left" if left else "record-closed", now)
+            self._lose_lease("left" if left else "record-closed", now)
             return
         self._joined = True
-        prepared = self._renewal.own_lease.next
+        prepared = self._renewer.own_lease.next
         if prepared is not None and record.epoch == prepared.epoch:
-            self._renewal.own_lease.promote()
-        held = {
-            slot: self._kept(slot, holding, now)
-            for slot, holding in slots.expand(record.runs).items()
+            self._renewer.own_lease.promote()
+        owned = {
+            slot: self._to_owned_slot(slot, assignment, now)
+            for slot, assignment in slots.expand(record.runs).items()
         }
-        gained = held.keys() - self.owned.keys()
-        lost = self._owned.keys() - held.keys()
-        self._owned = held
-        for slot in held:
+        gained = owned.keys() - self.owned.keys()
+        lost = self._owned.keys() - owned.keys()
+        self._owned = owned
+        for slot in owned:
             self._succession.recorded(slot)
-        if held and self._view.service_record(self._settings.service) is None:
-            # Keys are told from slots by the founding row.
+        if owned and self._view.service_record(self._settings.service) is None:
+            # Without the service record, keys can't be mapped to slots.
             self._outbox.put(effects.ReadTable(urgent=True))
         if gained or lost:
-            self._changed_at = now
+            self._slots_changed_at = now
             self.slots_version += 1
             self._outbox.log(
                 "slots_changed",
                 gained=len(gained),
                 lost=len(lost),
-                owned=len(held),
+                owned=len(owned),
                 epoch=record.epoch,
             )
 
-    def _kept(
-        self, slot: int, holding: slots.SlotAssignment, now: float
+    def _to_owned_slot(
+        self, slot: int, assignment: slots.SlotAssignment, now: float
     ) -> effects.OwnedSlot:
-        present = self.find(slot)
-        if present is not None and present.fence == holding.fence:
-            return present
-        return effects.OwnedSlot(holding.fence, now, holding.handover)
+        known = self.find(slot)
+        if known is not None and known.fence == assignment.fence:
+            return known
+        return effects.OwnedSlot(assignment.fence, now, assignment.handover)
 
     # The successor's side.
 
@@ -521,53 +559,54 @@
         if self._joined:
             self._succession.suspect(owner, epoch, now)
 
-    def _progress(self, now: float) -> None:
+    def _advance_takeovers(self, now: float) -> None:
         before = len(self._succession.held)
         if self._succession.progress(now):
             self._plan_at = now
         if len(self._succession.held) > before:
-            self._changed_at = now
+            self._slots_changed_at = now
             self.slots_version += 1
 
     # Changes of the table.
 
-    def _repeat(self, now: float) -> None:
-        if self._pending is not None and now >= self._commit_at:
-            self._put(self._pending, now)
+    def _retry(self, now: float) -> None:
+        if self._pending is not None and now >= self._commit_retry_at:
+            self._commit(self._pending, now)
         self._succession.repeat_claims(now)
 
-    def _put(self, change: changes.Change, now: float) -> None:
+    def _commit(self, change: changes.Change, now: float) -> None:
         self._pending = change
         # `handle_commit_result` sets it again. If that call is lost, the
         # transaction is sent again at this time.
-        self._commit_at = now + _ANSWER_LIMIT_S
+        self._commit_retry_at = now + _COMMIT_TIMEOUT_S
         self._outbox.put(effects.Commit(change))
 
     def _plan(self, now: float) -> None:
         if self._pending is not None:
             return
         if self._epoch_change.is_under_way:
-            self._proceed(now)
+            self._continue_epoch_change(now)
             return
         if now < self._plan_at:
             return
         self._plan_at = now + planner.PLAN_EVERY_S
-        waited = self._started + plannerinputs.vouch_after(self._settings)
-        if now < waited:
-            self._plan_at = min(self._plan_at, waited)
-        situation = self._situation(now)
-        signature = situation.signature()
-        if signature == self._idle and now < self._idle_until:
+        close_at = self._started_at + plannerinputs.vouch_after(self._settings)
+        if now < close_at:
+            # Records of earlier processes may be closed from then on.
+            self._plan_at = min(self._plan_at, close_at)
+        inputs = self._planner_inputs(now)
+        signature = inputs.signature()
+        if signature == self._idle_signature and now < self._idle_until:
             return
-        decided = planner.decide(situation, self._change_id())
-        self._idle = signature if decided is None else None
+        decided = planner.decide(inputs, self._change_id())
+        self._idle_signature = signature if decided is None else None
         self._idle_until = now + planner.IDLE_S
         if isinstance(decided, changes.Change):
-            self._put(decided, now)
+            self._commit(decided, now)
         elif decided is not None:
             self._epoch_change.begin(decided, now)
 
-    def _situation(self, now: float) -> plannerinputs.PlannerInputs:
+    def _planner_inputs(self, now: float) -> plannerinputs.PlannerInputs:
         return plannerinputs.PlannerInputs(
             view=self._view,
             settings=self._settings,
@@ -577,16 +616,17 @@
             draining=self._draining,
             table_ok=self._table_ok,
             lease_valid=now < self.lease_until(),
-            grants=self._renewal.own_lease.current,
+            grants=self._renewer.own_lease.current,
             takeovers=self.takeovers,
             unrecorded={
-                slot: held.fence for slot, held in self._succession.held.items()
+                slot: owned.fence
+                for slot, owned in self._succession.held.items()
             },
             is_pinned=self._is_pinned,
-            rates=self._sharing.rates,
-            loads=self._sharing.known.fresh(now),
-            most_moves=int(self._sharing.budget.tokens(now)),
-            age=now - self._started,
+            rates=self._load_exchange.rates,
+            loads=self._load_exchange.known.fresh(now),
+            most_moves=int(self._load_exchange.budget.tokens(now)),
+            age=now - self._started_at,
             now=now,
             keyed=self.keyed,
             has_low_load=self.has_low_load,
@@ -601,24 +641,24 @@
     def _change_id(self) -> str:
         return f"{self._incarnation}-{self._rng.getrandbits(48):012x}"
 
-    def _proceed(self, now: float) -> None:
-        found = self._epoch_change.proceed(
-            self._situation, self._change_id, now
+    def _continue_epoch_change(self, now: float) -> None:
+        write = self._epoch_change.proceed(
+            self._planner_inputs, self._change_id, now
         )
-        if found is not None:
-            self._sharing.budget.spend(len(found.moves))
-            self._put(found.change, now)
+        if write is not None:
+            self._load_exchange.budget.spend(len(write.moves))
+            self._commit(write.change, now)
 
     def slots_released(self, handovers: dict[slots.SlotRange, str]) -> None:
-        """Notes that the target has released the slots that are to move.
+        """Records that the target has released the slots that are to move.
 
         Args:
-            handovers: What it said to tell each run's next target.
+            handovers: The target's text for the next target of each range.
         """
         self._epoch_change.slots_released(handovers)
 
     # Helpers.
 
-    def _heard_revision(self, revision: int) -> None:
+    def _check_revision(self, revision: int) -> None:
         if revision > self._view.cursor:
             self._outbox.put(effects.ReadTable())
--- a/tamarackgap/ownership/reports.py
+++ b/tamarackgap/ownership/reports.py
@@ -1,4 +1,4 @@
-"""Who owns which keys, and why, as far as one daemon knows."""
+"""Reports the owners of keys, as far as one daemon knows them."""
 
 import msgspec
 
@@ -8,7 +8,19 @@
 
 
 class OwnerRow(msgspec.Struct, frozen=True):
-    """One daemon's part of a service."""
+    """One row of the `/owners` page: a daemon's part of a service.
+
+    Attributes:
+        service: The service.
+        daemon: The daemon's name.
+        data_centre: The data centre of its VM.
+        incarnation: Its incarnation.
+        epoch: Its epoch.
+        state: State of its lease record.
+        slots: Number of slots that it owns.
+        weight: Its weight in the operators' policy.
+        accepting: Whether it takes more slots.
+    """
 
     service: str
     daemon: str
@@ -22,21 +34,21 @@
 
 
 class Explanation(msgspec.Struct, frozen=True):
-    """Who owns a key, and why.
+    """The owner of a key, and the rows that decide it.
 
     Attributes:
         service: The service.
         key: The key.
         slot: The key's slot.
-        owner: The owning incarnation; empty if none is known.
+        owner: The owning incarnation, or empty if none is known.
         daemon: The owner's name.
         fence: The slot's fence.
         epoch: The owner's epoch.
-        state: State of the owner's record.
+        state: State of the owner's record, or "unknown".
         successor: The incarnation that would take the slot over.
-        change: Id of the write that the decision was made by.
+        change: Id of the write that made the owner's record.
         here: Whether this daemon would serve the key now.
-        refusal: Why it would not.
+        refusal: Why it would not, or empty.
     """
 
     service: str
@@ -54,12 +66,21 @@
 
 
 def decode_owners(text: bytes) -> list[OwnerRow]:
-    """Returns the rows of an `/owners` page."""
+    """Returns the rows of an `/owners` page.
+
+    Raises:
+        msgspec.DecodeError: If the text is not such a page.
+    """
     return msgspec.json.decode(text, type=list[OwnerRow])
 
 
 def owners(core: ownership.Ownership, service: str | None) -> list[OwnerRow]:
-    """Returns each daemon's part of one service, or of all."""
+    """Returns each daemon's part of one service, or of all.
+
+    Args:
+        core: The daemon's ownership protocol.
+        service: The service, or None for all.
+    """
     rows = [
         OwnerRow(
             service=record.service,
@@ -84,7 +105,7 @@
     """Returns the number of a service's slots.
 
     Raises:
-        KeyError: If the service has no owned keys that are known here.
+        KeyError: If this daemon knows of no service record.
     """
     service_record = core.view.service_record(service)
     if service_record is None:
@@ -99,24 +120,34 @@
     slot: types.Slot,
     now: float,
 ) -> Explanation:
-    """Returns who owns a key's slot, and why, as far as is known here."""
-    route = core.slot_owners.find(service, slot)
-    owner = route.owner if route else types.NO_INCARNATION
+    """Returns the owner of a key, and the rows that decide it.
+
+    Args:
+        core: The daemon's ownership protocol.
+        service: The key's service.
+        key: The key.
+        slot: The key's slot.
+        now: Monotonic time, seconds.
+    """
+    slot_owner = core.slot_owners.find(service, slot)
+    owner = slot_owner.owner if slot_owner else types.NO_INCARNATION
     record = core.view.lease(owner)
-    held = slots.expand(record.runs).get(slot) if record is not None else None
-    own = service == core.settings.service
-    refusal = core.refusal(slot, now) if own else None
+    assignment = (
+        slots.expand(record.runs).get(slot) if record is not None else None
+    )
+    is_own_service = service == core.settings.service
+    refusal = core.refusal(slot, now) if is_own_service else None
     return Explanation(
         service=service,
         key=key,
         slot=slot,
         owner=owner,
         daemon=record.daemon if record else "",
-        fence=route.fence if route else 0,
+        fence=slot_owner.fence if slot_owner else 0,
         epoch=record.epoch if record else 0,
         state=record.state.value if record else "unknown",
-        successor=held.successor if held else "",
+        successor=assignment.successor if assignment else "",
         change=record.change if record else "",
-        here=own and refusal is None,
+        here=is_own_service and refusal is None,
         refusal=refusal.value if refusal else "",
     )
