--- a/tamarackgap/ownership/changes.py
+++ b/tamarackgap/ownership/changes.py
@@ -255,8 +255,8 @@
         view.members(own_record.service),
     )
     # Successors of the slots owned before must not change within an epoch.
-    runs = slots.compress({**kept, **placed})
-    builder.put(msgspec.structs.replace(own_record, runs=runs))
+    ranges = slots.compress({**kept, **placed})
+    builder.put(msgspec.structs.replace(own_record, runs=ranges))
     return builder.build(ChangeKind.CLAIM, "lease-over:" + ",".join(sources))
 
 
@@ -300,6 +300,6 @@
         if record is None:
             continue
         placed = placement.choose_successors(record, moved, members)
-        runs = slots.compress({**slots.expand(record.runs), **placed})
-        builder.put(msgspec.structs.replace(record, runs=runs))
+        ranges = slots.compress({**slots.expand(record.runs), **placed})
+        builder.put(msgspec.structs.replace(record, runs=ranges))
     return builder.build(ChangeKind.RECONFIGURE, reason)
--- a/tamarackgap/ownership/epochchange.py
+++ b/tamarackgap/ownership/epochchange.py
@@ -139,11 +139,11 @@
             group = groups.setdefault((move.destination, move.reason), {})
             group[move.slot] = slots.SlotAssignment(0)
         for (destination, reason), moved in groups.items():
-            for run in slots.compress(moved):
+            for slot_range in slots.compress(moved):
                 self._outbox.log(
                     "move",
-                    first=run.first,
-                    last=run.last,
+                    first=slot_range.first,
+                    last=slot_range.last,
                     to=destination,
                     reason=reason,
                 )
--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -102,7 +102,8 @@
         self._start_incarnation(now)
 
     def _start_incarnation(self, now: float) -> None:
-        # What the ended incarnation has promised as a witness stays binding.
+        # The grants and seals that the ended incarnation has given as a witness
+        # stay binding.
         if self._own_witness is not None:
             self._ended.keep(self._incarnation, self._own_witness)
         self._incarnation = types.Incarnation(
@@ -152,7 +153,7 @@
         return self._incarnation
 
     def is_own(self, incarnation: str) -> bool:
-        """Returns whether an id is this process's, now or until lately."""
+        """Returns whether an id is this process's current or a recent one."""
         return (
             incarnation == self._incarnation
             or self._ended.witness(incarnation) is not None
@@ -295,8 +296,9 @@
     def release_lease(self, now: float) -> None:
         """Gives up the lease at once, and starts a new incarnation.
 
-        Successors then need not wait for the lease to expire, and need no
-        table. No request may be in progress.
+        For use while the table does not answer: successors then need neither
+        the table nor wait for the lease to expire. No request may be in
+        progress.
         """
         for name in self._renewer.own_lease.current.witnesses:
             self._outbox.send(name, messages.Release(name, self.epoch))
@@ -462,10 +464,7 @@
         return self._ended.witness(name)
 
     def tick(self, now: float) -> None:
-        """Does all that is due.
-
-        To be called several times per renewal interval.
-        """
+        """Performs all due work; to be called several times per renewal."""
         self._renewer.renew(now)
         for record in self._silent_owners(now):
             self._suspect(record.incarnation, record.epoch, now)
@@ -592,7 +591,7 @@
         self._plan_at = now + planner.PLAN_EVERY_S
         close_at = self._started_at + plannerinputs.vouch_after(self._settings)
         if now < close_at:
-            # Records of earlier processes may be closed from then on.
+            # From then on, records of earlier processes may be closed.
             self._plan_at = min(self._plan_at, close_at)
         inputs = self._planner_inputs(now)
         signature = inputs.signature()
--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -43,8 +43,8 @@
 
     def handover(self, slot: int) -> str:
         """Returns the text for a slot's next target, or ""."""
-        for run, text in (self.handovers or {}).items():
-            if run.first <= slot <= run.last:
+        for slot_range, text in (self.handovers or {}).items():
+            if slot_range.first <= slot <= slot_range.last:
                 return text
         return ""
 
@@ -197,16 +197,16 @@
     restarted = [m.incarnation for m in members if m.daemon == record.daemon]
     candidates = restarted or [member.incarnation for member in members]
     fences = {}
-    for run in record.runs:
-        successor = view.lease(run.successor)
+    for slot_range in record.runs:
+        successor = view.lease(slot_range.successor)
         if successor is not None and successor.is_open:
             continue
         if (
-            placement.choose_by_rendezvous(run.first, candidates)
+            placement.choose_by_rendezvous(slot_range.first, candidates)
             == inputs.incarnation
         ):
-            for slot in range(run.first, run.last + 1):
-                fences[slot] = run.fence + 2
+            for slot in range(slot_range.first, slot_range.last + 1):
+                fences[slot] = slot_range.fence + 2
     return fences
 
 
--- a/tamarackgap/ownership/plannerinputs.py
+++ b/tamarackgap/ownership/plannerinputs.py
@@ -121,10 +121,10 @@
 
 
 def vouch_after(settings: effects.Settings) -> float:
-    """Returns how long after its start a process may close earlier records.
+    """Returns the age from which a process may close earlier records, seconds.
 
     By then the lease of an earlier process at its address has ended, and so
-    has the last request that it sent to its target. In seconds.
+    has the last request that it sent to its target.
     """
     return settings.lease * (1 + settings.drift) + settings.linger
 
--- a/tamarackgap/ownership/succession.py
+++ b/tamarackgap/ownership/succession.py
@@ -120,10 +120,12 @@
         """Records the new owner of slots that another successor took over."""
         changed = sum(
             self._slot_owners.update(
-                message.service, slot, slotowners.SlotOwner(sender, run.fence)
+                message.service,
+                slot,
+                slotowners.SlotOwner(sender, slot_range.fence),
             )
-            for run in message.runs
-            for slot in range(run.first, run.last + 1)
+            for slot_range in message.runs
+            for slot in range(slot_range.first, slot_range.last + 1)
         )
         if changed:
             self._outbox.log(
