--- a/tamarackgap/ownership/endedincarnations.py
+++ b/tamarackgap/ownership/endedincarnations.py
@@ -19,7 +19,7 @@
         self._witnesses: dict[str, witnesshandler.WitnessHandler] = {}
         self._ends: dict[str, float] = {}
 
-    def keep(self, name: str, witness: witnesshandler.WitnessHandler) -> None:
+    def add(self, name: str, witness: witnesshandler.WitnessHandler) -> None:
         """Keeps the witness of an ended incarnation; drops the oldest ones.
 
         Args:
@@ -30,31 +30,34 @@
         for oldest in list(self._witnesses)[:-_MAX_WITNESSES]:
             del self._witnesses[oldest]
 
-    def witness(self, name: str) -> witnesshandler.WitnessHandler | None:
+    def find_witness(self, name: str) -> witnesshandler.WitnessHandler | None:
         """Returns the witness of an ended incarnation, or None."""
         return self._witnesses.get(name)
 
-    def silent_owners(
+    def report_silent_owners(
         self, outbox: effects.Outbox, now: float
     ) -> list[records.LeaseRecord]:
-        """Returns the owners that an ended incarnation's witness suspects.
+        """Notifies the successors of owners that have stopped renewing.
 
-        Successors are notified in the name of the ended incarnation, because
+        The messages are sent in the name of the ended incarnation, because
         the owner's record lists that one as a witness.
 
         Args:
             outbox: Collects the messages.
             now: Monotonic time, seconds.
+
+        Returns:
+            The records whose epochs this daemon should try to end itself.
         """
         owners = []
         sender = outbox.incarnation
         for name, witness in list(self._witnesses.items()):
             outbox.incarnation = name
-            owners += witness.silent_owners(now)
+            owners += witness.report_silent_owners(now)
         outbox.incarnation = sender
         return owners
 
-    def ends(self, name: str, at: float) -> None:
+    def set_end(self, name: str, at: float) -> None:
         """Records when an incarnation's last requests have ended.
 
         Args:
@@ -64,10 +67,10 @@
         """
         self._ends[name] = at
 
-    def over(self, view: records.TableView, now: float) -> frozenset[str]:
-        """Returns the incarnations that have ended and may be closed.
-
-        Those whose records are closed already are left out.
+    def ended_before(
+        self, view: records.TableView, now: float
+    ) -> frozenset[str]:
+        """Returns the incarnations that have ended, and drops closed ones.
 
         Args:
             view: This daemon's copy of the table.
--- a/tamarackgap/ownership/epochchange.py
+++ b/tamarackgap/ownership/epochchange.py
@@ -38,11 +38,11 @@
         self._outbox = outbox
         self._ordered_keys = ordered_keys
         self._intent: planner.EpochIntent | None = None
-        # When the current step is given up, seconds.
-        self._give_up_at = 0.0
+        # When the change is cancelled if its current step is not done, seconds.
+        self._cancel_at = 0.0
         self._release: planner.SlotRelease | None = None
         # Slots that are about to move, and are not served any more.
-        self.moving: frozenset[int] = frozenset()
+        self.moving_slots: frozenset[int] = frozenset()
 
     @property
     def is_under_way(self) -> bool:
@@ -62,16 +62,16 @@
             now: Monotonic time, seconds.
         """
         self._intent = intent
-        self._give_up_at = now + _PREPARE_TIMEOUT_S
+        self._cancel_at = now + _PREPARE_TIMEOUT_S
         self._renewer.prepare(intent.witnesses, now)
 
-    def proceed(
+    def advance(
         self,
         inputs: Callable[[float], plannerinputs.PlannerInputs],
         change_id: Callable[[], str],
         now: float,
     ) -> planner.EpochWrite | None:
-        """Continues the change, or gives it up if a step took too long.
+        """Continues the change, or cancels it if a step takes too long.
 
         Args:
             inputs: Returns the planner's inputs at a time.
@@ -85,20 +85,20 @@
             self._release.handovers is None
         )
         if is_waiting or not self._renewer.own_lease.is_prepared(now):
-            if now >= self._give_up_at:
-                self.give_up()
+            if now >= self._cancel_at:
+                self.cancel()
             return None
         write = planner.plan_epoch_write(
             self._intent, inputs(now), change_id(), self._release
         )
         if write is None:
-            self.give_up()
+            self.cancel()
             return None
-        self.moving = frozenset(move.slot for move in write.moves)
-        if self._ordered_keys and self.moving and self._release is None:
+        self.moving_slots = frozenset(move.slot for move in write.moves)
+        if self._ordered_keys and self.moving_slots and self._release is None:
             self._release = planner.SlotRelease(write.moves)
-            self._give_up_at = now + _RELEASE_TIMEOUT_S
-            self._outbox.put(effects.ReleaseSlots(self.moving))
+            self._cancel_at = now + _RELEASE_TIMEOUT_S
+            self._outbox.put(effects.ReleaseSlots(self.moving_slots))
             return None
         self._log_moves(write.moves)
         self._renewer.own_lease.begin_write()
@@ -115,22 +115,22 @@
                 self._release, handovers=handovers
             )
 
-    def give_up(self) -> None:
-        """Ends the change.
+    def cancel(self) -> None:
+        """Ends the change, whether it has been written or not.
 
         The owner stays in its current epoch, or is already in the epoch that
         the table records.
         """
         self._renewer.own_lease.abandon()
         self._intent = None
-        self.end_hand_off()
+        self.end_release()
 
-    def end_hand_off(self) -> None:
+    def end_release(self) -> None:
         """Ends the release of slots: they have moved, or they stay."""
-        self.moving = frozenset()
+        self.moving_slots = frozenset()
         if self._release is not None:
             self._release = None
-            self._outbox.put(effects.ReleaseSlots(self.moving))
+            self._outbox.put(effects.ReleaseSlots(self.moving_slots))
 
     def _log_moves(self, moves: tuple[placement.Move, ...]) -> None:
         """Logs one line per slot range with one destination and reason."""
--- a/tamarackgap/ownership/liveness.py
+++ b/tamarackgap/ownership/liveness.py
@@ -18,7 +18,7 @@
         # Revision of each challenge's row, and when it was first seen.
         self._challenges: dict[str, tuple[int, float]] = {}
 
-    def missed_for(
+    def unreachable_durations(
         self,
         view: records.TableView,
         own: str,
@@ -46,7 +46,7 @@
         }
         return {name: now - since for name, since in self._missed_since.items()}
 
-    def challenged_for(
+    def challenge_durations(
         self, view: records.TableView, now: float
     ) -> dict[str, float]:
         """Returns how long this daemon has seen each challenge, seconds.
--- a/tamarackgap/ownership/loads.py
+++ b/tamarackgap/ownership/loads.py
@@ -109,12 +109,12 @@
         self._view = view
         self._outbox = outbox
         self._rng = rng
-        self.known = Loads()
-        self.budget = MoveBudget(records.Policy().moves, now)
+        self.member_loads = Loads()
+        self.move_budget = MoveBudget(records.Policy().moves, now)
         # Requests per second of each slot served here.
-        self.rates: dict[int, float] = {}
+        self.slot_loads: dict[int, float] = {}
 
-    def share(
+    def report(
         self, rates: dict[int, float], now: float, changed_at: float
     ) -> None:
         """Records the load of the own slots, and reports it to a sample.
@@ -124,7 +124,7 @@
             now: Monotonic time, seconds.
             changed_at: When slots were last gained or lost, seconds.
         """
-        self.rates = rates
+        self.slot_loads = rates
         total: float | None = sum(rates.values())
         in_warmup = now - changed_at < self._settings.load_warmup
         if in_warmup and total >= _IDLE_RATE_PER_S:
@@ -132,10 +132,10 @@
             # further moves on their load.
             total = None
         own = self._outbox.incarnation
-        self.known.note(own, total, now)
+        self.member_loads.note(own, total, now)
         service = self._settings.service
         policy = self._view.policy(service, self._settings.data_centre)
-        self.budget.resize(policy.moves, now)
+        self.move_budget.resize(policy.moves, now)
         others = [
             record
             for record in self._view.members(service)
--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -105,7 +105,7 @@
         # The grants and seals that the ended incarnation has given as a witness
         # stay binding.
         if self._own_witness is not None:
-            self._ended.keep(self._incarnation, self._own_witness)
+            self._ended.add(self._incarnation, self._own_witness)
         self._incarnation = types.Incarnation(
             f"{self._rng.getrandbits(64):016x}"
         )
@@ -134,7 +134,7 @@
         self._owned: dict[int, effects.OwnedSlot] = {}
         self._pending: changes.Change | None = None
         self._commit_retry_at = 0.0
-        self._epoch_change.end_hand_off()
+        self._epoch_change.end_release()
         self._epoch_change = epochchange.EpochChange(
             self._renewer, self._outbox, self._settings.ordered_keys
         )
@@ -156,7 +156,7 @@
         """Returns whether an id is this process's current or a recent one."""
         return (
             incarnation == self._incarnation
-            or self._ended.witness(incarnation) is not None
+            or self._ended.find_witness(incarnation) is not None
         )
 
     @property
@@ -197,12 +197,12 @@
     @property
     def owned(self) -> dict[int, effects.OwnedSlot]:
         """All owned slots, recorded in the table or not."""
-        return {**self._owned, **self._succession.held}
+        return {**self._owned, **self._succession.unrecorded}
 
     @property
     def unrecorded(self) -> dict[int, effects.OwnedSlot]:
         """Slots owned through seals but not yet recorded in the table."""
-        return self._succession.held
+        return self._succession.unrecorded
 
     @property
     def takeovers(self) -> list[takeover.Takeover]:
@@ -249,7 +249,7 @@
             return types.Reason.WRONG_OWNER
         if now >= self.lease_until():
             return types.Reason.LEASE_EXPIRED
-        if slot in self._epoch_change.moving:
+        if slot in self._epoch_change.moving_slots:
             return types.Reason.SLOT_MOVING
         return None
 
@@ -287,7 +287,7 @@
             rates: Requests per second of each slot.
             now: Monotonic time, seconds.
         """
-        self._load_exchange.share(rates, now, self._slots_changed_at)
+        self._load_exchange.report(rates, now, self._slots_changed_at)
 
     def drain(self) -> None:
         """Starts moving all slots away, in order to leave."""
@@ -303,7 +303,7 @@
         for name in self._renewer.own_lease.current.witnesses:
             self._outbox.send(name, messages.Release(name, self.epoch))
         self._outbox.log("released", slots=len(self.owned))
-        self._ended.ends(self._incarnation, now + self.linger)
+        self._ended.set_end(self._incarnation, now + self.linger)
         self._start_incarnation(now)
 
     def merge(self, rows: list[records.Row], now: float) -> None:
@@ -417,8 +417,8 @@
                 self._plan_at = now
             self._outbox.broadcast(messages.Rows(tuple(rows)))
         if change.kind is changes.ChangeKind.RECONFIGURE:
-            self._epoch_change.give_up()
-        self._epoch_change.end_hand_off()
+            self._epoch_change.cancel()
+        self._epoch_change.end_release()
 
     def receive(self, envelope: messages.Envelope, now: float) -> None:
         """Handles a message from another daemon."""
@@ -438,19 +438,19 @@
             case messages.Seal() if witness is not None:
                 answer = witness.seal(message, now)
             case messages.SealReply():
-                self._succession.sealed(sender, message, now)
+                self._succession.handle_seal_reply(sender, message, now)
             case messages.Retire() if witness is not None:
                 answer = witness.retire(sender, message)
             case messages.RetireReply(owner=name) if name == self._incarnation:
-                self._renewer.retired(sender, message, now)
+                self._renewer.handle_retire_reply(sender, message, now)
             case messages.Release() if witness is not None:
                 witness.release(sender, message)
             case messages.Rows():
                 self.merge(list(message.rows), now)
             case messages.Claim():
-                self._succession.claimed(sender, message)
+                self._succession.handle_claim(sender, message)
             case messages.LoadReport(rate=rate):
-                self._load_exchange.known.note(sender, rate, now)
+                self._load_exchange.member_loads.note(sender, rate, now)
         if answer is not None:
             # The sender of the answer is the incarnation that was asked,
             # even if it has ended: the owner knows its witness by that id.
@@ -461,22 +461,26 @@
         """Returns the witness of this process under an id, or None."""
         if name == self._incarnation:
             return self._own_witness
-        return self._ended.witness(name)
+        return self._ended.find_witness(name)
 
     def tick(self, now: float) -> None:
         """Performs all due work; to be called several times per renewal."""
         self._renewer.renew(now)
-        for record in self._silent_owners(now):
+        for record in self._report_silent_owners(now):
             self._suspect(record.incarnation, record.epoch, now)
         self._check_lapse(now)
         self._advance_takeovers(now)
         self._retry(now)
         self._plan(now)
 
-    def _silent_owners(self, now: float) -> list[records.LeaseRecord]:
-        """Returns silent owners that any of this process's ids witnesses."""
-        owners = self._ended.silent_owners(self._outbox, now)
-        return owners + self._own_witness.silent_owners(now)
+    def _report_silent_owners(self, now: float) -> list[records.LeaseRecord]:
+        """Notifies successors of silent owners, for all of this process's ids.
+
+        Returns:
+            The records whose epochs this daemon should try to end itself.
+        """
+        owners = self._ended.report_silent_owners(self._outbox, now)
+        return owners + self._own_witness.report_silent_owners(now)
 
     # The owner's side.
 
@@ -484,7 +488,7 @@
         self, sender: str, message: messages.RenewReply, now: float
     ) -> None:
         self._check_revision(message.revision)
-        self._renewer.granted(sender, message, now)
+        self._renewer.handle_renew_reply(sender, message, now)
         if self._renewer.is_ended():
             self._lose_lease("sealed-by-majority", now)
 
@@ -506,7 +510,7 @@
     def _lose_lease(self, reason: str, now: float) -> None:
         self._outbox.log("lease_lost", reason=reason, slots=len(self.owned))
         until = max(now, self._renewer.own_lease.valid_until())
-        self._ended.ends(self._incarnation, until + self.linger)
+        self._ended.set_end(self._incarnation, until + self.linger)
         self._rejoin_until = now + _REJOIN_S
         self._start_incarnation(now)
 
@@ -529,7 +533,7 @@
         lost = self._owned.keys() - owned.keys()
         self._owned = owned
         for slot in owned:
-            self._succession.recorded(slot)
+            self._succession.mark_recorded(slot)
         if owned and self._view.service_record(self._settings.service) is None:
             # Without the service record, keys can't be mapped to slots.
             self._outbox.put(effects.ReadTable(urgent=True))
@@ -559,10 +563,10 @@
             self._succession.suspect(owner, epoch, now)
 
     def _advance_takeovers(self, now: float) -> None:
-        before = len(self._succession.held)
-        if self._succession.progress(now):
+        before = len(self._succession.unrecorded)
+        if self._succession.advance(now):
             self._plan_at = now
-        if len(self._succession.held) > before:
+        if len(self._succession.unrecorded) > before:
             self._slots_changed_at = now
             self.slots_version += 1
 
@@ -588,8 +592,10 @@
             return
         if now < self._plan_at:
             return
-        self._plan_at = now + planner.PLAN_EVERY_S
-        close_at = self._started_at + plannerinputs.vouch_after(self._settings)
+        self._plan_at = now + planner.PLAN_INTERVAL_S
+        close_at = self._started_at + plannerinputs.earlier_lease_timeout(
+            self._settings
+        )
         if now < close_at:
             # From then on, records of earlier processes may be closed.
             self._plan_at = min(self._plan_at, close_at)
@@ -599,7 +605,7 @@
             return
         decided = planner.decide(inputs, self._change_id())
         self._idle_signature = signature if decided is None else None
-        self._idle_until = now + planner.IDLE_S
+        self._idle_until = now + planner.IDLE_PLAN_INTERVAL_S
         if isinstance(decided, changes.Change):
             self._commit(decided, now)
         elif decided is not None:
@@ -619,33 +625,33 @@
             takeovers=self.takeovers,
             unrecorded={
                 slot: owned.fence
-                for slot, owned in self._succession.held.items()
+                for slot, owned in self._succession.unrecorded.items()
             },
             is_pinned=self._is_pinned,
-            rates=self._load_exchange.rates,
-            loads=self._load_exchange.known.fresh(now),
-            most_moves=int(self._load_exchange.budget.tokens(now)),
+            rates=self._load_exchange.slot_loads,
+            loads=self._load_exchange.member_loads.fresh(now),
+            most_moves=int(self._load_exchange.move_budget.tokens(now)),
             age=now - self._started_at,
             now=now,
             keyed=self.keyed,
             has_low_load=self.has_low_load,
             is_reachable=self.is_reachable,
-            silent_for=self._liveness.missed_for(
+            silent_for=self._liveness.unreachable_durations(
                 self._view, self._incarnation, self.is_reachable, now
             ),
-            challenged_for=self._liveness.challenged_for(self._view, now),
-            over=self._ended.over(self._view, now),
+            challenged_for=self._liveness.challenge_durations(self._view, now),
+            over=self._ended.ended_before(self._view, now),
         )
 
     def _change_id(self) -> str:
         return f"{self._incarnation}-{self._rng.getrandbits(48):012x}"
 
     def _continue_epoch_change(self, now: float) -> None:
-        write = self._epoch_change.proceed(
+        write = self._epoch_change.advance(
             self._planner_inputs, self._change_id, now
         )
         if write is not None:
-            self._load_exchange.budget.spend(len(write.moves))
+            self._load_exchange.move_budget.spend(len(write.moves))
             self._commit(write.change, now)
 
     def slots_released(self, handovers: dict[slots.SlotRange, str]) -> None:
--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -5,10 +5,10 @@
 from tamarackgap.ownership import changes, effects, plannerinputs
 from tamarackgap.placement import placement, records, slots
 
-PLAN_EVERY_S = 0.2
+PLAN_INTERVAL_S = 0.2
 # While the signature of the inputs stays the same, the planner still runs
 # this often, because loads and ages are not part of it.
-IDLE_S = 1.0
+IDLE_PLAN_INTERVAL_S = 1.0
 # An owner that has been unreachable for this long, and whose epoch its
 # witnesses have not ended by then, is challenged.
 _CHALLENGE_AFTER_S = 3.0
@@ -93,7 +93,7 @@
 def _join(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    if inputs.mine is not None or inputs.draining:
+    if inputs.own_record is not None or inputs.draining:
         return None
     settings = inputs.settings
     linger = 0.0 if inputs.checks_grants else settings.linger
@@ -116,7 +116,7 @@
 def _update_flags(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    own_record = inputs.mine
+    own_record = inputs.own_record
     if own_record is None:
         return None
     updated = msgspec.structs.replace(
@@ -134,7 +134,7 @@
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
     """Takes over slots of ended epochs, and closes their records."""
-    own_record = inputs.mine
+    own_record = inputs.own_record
     if own_record is None or not inputs.lease_valid:
         return None
     claims = [
@@ -157,13 +157,13 @@
         record whose epoch has ended is claimed even without slots for this
         daemon, so that it gets closed.
     """
-    has_ended = any(
-        attempt.done
+    epoch_ended = any(
+        attempt.has_ended
         and attempt.record.incarnation == record.incarnation
         and attempt.record.epoch == record.epoch
         for attempt in inputs.takeovers
     )
-    if record.is_open and not has_ended:
+    if record.is_open and not epoch_ended:
         return None
     assignments = slots.expand(record.runs)
     fences = {
@@ -221,7 +221,7 @@
     earlier incarnation, it knows that time exactly.
     """
     settings = inputs.settings
-    waited = inputs.age >= plannerinputs.vouch_after(settings)
+    waited = inputs.age >= plannerinputs.earlier_lease_timeout(settings)
     earlier = [
         record
         for record in inputs.view.leases()
@@ -321,7 +321,7 @@
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
     """Allocates the slots of the service, if nobody has done so yet."""
-    own_record = inputs.mine
+    own_record = inputs.own_record
     settings = inputs.settings
     if (
         own_record is None
@@ -365,7 +365,7 @@
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
     """Deletes the record of a draining daemon that is not needed any more."""
-    own_record = inputs.mine
+    own_record = inputs.own_record
     if (
         own_record is None
         or not inputs.draining
@@ -391,7 +391,7 @@
 ) -> EpochIntent | None:
     """Returns the next epoch, if witnesses, successors or slots change."""
     del change_id
-    own_record = inputs.mine
+    own_record = inputs.own_record
     if own_record is None or not inputs.table_ok:
         return None
     witnesses = _choose_witnesses(inputs, own_record)
@@ -408,7 +408,7 @@
 def _choose_witnesses(
     inputs: plannerinputs.PlannerInputs, own_record: records.LeaseRecord
 ) -> tuple[str, ...]:
-    unresponsive = plannerinputs.unresponsive(inputs)
+    unresponsive = plannerinputs.unresponsive_witnesses(inputs)
     chosen = placement.choose_witnesses(
         own_record,
         inputs.view.members(),
@@ -476,7 +476,7 @@
     if has_unclaimed:
         # Claims come first, because they may balance the slots by themselves.
         return ()
-    own_record = inputs.mine
+    own_record = inputs.own_record
     policy = view.policy(service, own_record.data_centre)
     members = placement_members(view, service, inputs.loads)
     has_empty = any(member.weight and not member.owned for member in members)
@@ -523,7 +523,7 @@
     Returns:
         The write, or None if there is nothing left to change.
     """
-    own_record = inputs.mine
+    own_record = inputs.own_record
     if own_record is None:
         return None
     if release is None:
--- a/tamarackgap/ownership/plannerinputs.py
+++ b/tamarackgap/ownership/plannerinputs.py
@@ -100,7 +100,7 @@
 
     def signature(self) -> InputsSignature:
         """Returns what has to change before the planner has to run again."""
-        done = sum(attempt.done for attempt in self.takeovers)
+        done = sum(attempt.has_ended for attempt in self.takeovers)
         return InputsSignature(
             self.view.version,
             self.accepting,
@@ -108,19 +108,19 @@
             self.table_ok,
             done,
             len(self.unrecorded),
-            frozenset(unresponsive(self)),
+            frozenset(unresponsive_witnesses(self)),
             self.has_low_load,
             self.over,
-            self.age >= vouch_after(self.settings),
+            self.age >= earlier_lease_timeout(self.settings),
         )
 
     @property
-    def mine(self) -> records.LeaseRecord | None:
+    def own_record(self) -> records.LeaseRecord | None:
         """The current incarnation's lease record, or None."""
         return self.view.lease(self.incarnation)
 
 
-def vouch_after(settings: effects.Settings) -> float:
+def earlier_lease_timeout(settings: effects.Settings) -> float:
     """Returns the age from which a process may close earlier records, seconds.
 
     By then the lease of an earlier process at its address has ended, and so
@@ -129,7 +129,7 @@
     return settings.lease * (1 + settings.drift) + settings.linger
 
 
-def unresponsive(inputs: PlannerInputs) -> set[str]:
+def unresponsive_witnesses(inputs: PlannerInputs) -> set[str]:
     """Returns the witnesses that do not answer or refuse to renew."""
     grants = inputs.grants
     return grants.refusing_witnesses() | grants.silent_witnesses(
--- a/tamarackgap/ownership/renewal.py
+++ b/tamarackgap/ownership/renewal.py
@@ -68,7 +68,7 @@
         for grants in self._lease.epochs():
             self._send_renewals(grants, now)
 
-    def granted(
+    def handle_renew_reply(
         self, sender: str, message: messages.RenewReply, now: float
     ) -> None:
         """Records a witness's answer to a renewal or probe."""
@@ -84,7 +84,7 @@
                 # A majority answers the probes again, so renew at once.
                 self._due = now
 
-    def retired(
+    def handle_retire_reply(
         self, sender: str, message: messages.RetireReply, now: float
     ) -> None:
         """Records a witness's answer to a retirement."""
--- a/tamarackgap/ownership/succession.py
+++ b/tamarackgap/ownership/succession.py
@@ -43,7 +43,7 @@
         self._outbox = outbox
         self._seal_here = seal_here
         self._attempts: dict[tuple[str, int], takeover.Takeover] = {}
-        self._held: dict[int, effects.OwnedSlot] = {}
+        self._unrecorded: dict[int, effects.OwnedSlot] = {}
         self._claim_at = 0.0
 
     @property
@@ -52,17 +52,17 @@
         return list(self._attempts.values())
 
     @property
-    def held(self) -> dict[int, effects.OwnedSlot]:
+    def unrecorded(self) -> dict[int, effects.OwnedSlot]:
         """Slots owned through seals but not yet recorded in the table."""
-        return dict(self._held)
+        return dict(self._unrecorded)
 
     def find(self, slot: int) -> effects.OwnedSlot | None:
         """Returns a slot that is owned through seals, or None."""
-        return self._held.get(slot)
+        return self._unrecorded.get(slot)
 
-    def recorded(self, slot: int) -> None:
+    def mark_recorded(self, slot: int) -> None:
         """Drops a slot that the table now records as this daemon's."""
-        self._held.pop(slot, None)
+        self._unrecorded.pop(slot, None)
 
     def suspect(self, owner: str, epoch: int, now: float) -> None:
         """Starts or continues an attempt to end an epoch.
@@ -85,7 +85,7 @@
             self._outbox.log("takeover_begun", owner=owner, epoch=epoch)
         attempt.suspected_at = types.Seconds(now)
 
-    def sealed(
+    def handle_seal_reply(
         self, sender: str, message: messages.SealReply, now: float
     ) -> None:
         """Records a witness's answer to a request for a seal."""
@@ -93,13 +93,13 @@
         if attempt is not None:
             attempt.record_answer(sender, message, types.Seconds(now))
 
-    def progress(self, now: float) -> bool:
+    def advance(self, now: float) -> bool:
         """Advances all attempts.
 
         Returns:
             Whether an epoch is now known to have ended.
         """
-        has_ended = False
+        any_ended = False
         for (owner, epoch), attempt in list(self._attempts.items()):
             record = self._view.lease(owner)
             if record is None or not record.is_open or record.epoch != epoch:
@@ -107,16 +107,16 @@
             elif attempt.mode() is takeover.Mode.SUPERSEDED:
                 del self._attempts[owner, epoch]
                 self._outbox.put(effects.ReadTable(urgent=True))
-            elif not attempt.done:
-                has_ended |= self._advance(attempt, record, now)
-        return has_ended
+            elif not attempt.has_ended:
+                any_ended |= self._advance_attempt(attempt, record, now)
+        return any_ended
 
     def repeat_claims(self, now: float) -> None:
         """Announces again the slots that are not yet recorded in the table."""
-        if self._held and now >= self._claim_at:
+        if self._unrecorded and now >= self._claim_at:
             self._announce_claims(now)
 
-    def claimed(self, sender: str, message: messages.Claim) -> None:
+    def handle_claim(self, sender: str, message: messages.Claim) -> None:
         """Records the new owner of slots that another successor took over."""
         changed = sum(
             self._slot_owners.update(
@@ -132,7 +132,7 @@
                 "routes_claimed", owner=message.owner, by=sender, slots=changed
             )
 
-    def _advance(
+    def _advance_attempt(
         self,
         attempt: takeover.Takeover,
         record: records.LeaseRecord,
@@ -149,7 +149,7 @@
             return False
         if now < attempt.over_at():
             return False
-        attempt.done = True
+        attempt.has_ended = True
         # Slots of a retired epoch are served only once the table records
         # their new owner.
         if mode is takeover.Mode.SEALED:
@@ -162,7 +162,7 @@
         record: records.LeaseRecord,
         now: float,
     ) -> None:
-        for name in attempt.unanswered():
+        for name in attempt.remaining_witnesses():
             message = messages.Seal(name, record.incarnation, record.epoch)
             if name == self._outbox.incarnation:
                 answer = self._seal_here(message, now)
@@ -172,12 +172,12 @@
 
     def _take_slots(self, record: records.LeaseRecord, now: float) -> None:
         """Owns the slots of an ended epoch that name this successor."""
-        before = len(self._held)
+        before = len(self._unrecorded)
         own = self._outbox.incarnation
         for slot, assignment in slots.expand(record.runs).items():
             if assignment.successor == own:
                 fence = assignment.fence + 1
-                self._held[slot] = effects.OwnedSlot(fence, now)
+                self._unrecorded[slot] = effects.OwnedSlot(fence, now)
                 new_owner = slotowners.SlotOwner(own, fence)
                 self._slot_owners.update(record.service, slot, new_owner)
         self._outbox.log(
@@ -185,22 +185,24 @@
             owner=record.incarnation,
             daemon=record.daemon,
             epoch=record.epoch,
-            slots=len(self._held) - before,
+            slots=len(self._unrecorded) - before,
         )
         self._announce_claims(now)
 
     def _announce_claims(self, now: float) -> None:
         self._claim_at = now + _CLAIM_INTERVAL_S
         for attempt in self._attempts.values():
-            if not attempt.done:
+            if not attempt.has_ended:
                 continue
             record = attempt.record
-            held = {
-                types.Slot(slot): slots.SlotAssignment(self._held[slot].fence)
+            claimed = {
+                types.Slot(slot): slots.SlotAssignment(
+                    self._unrecorded[slot].fence
+                )
                 for slot in slots.expand(record.runs)
-                if slot in self._held
+                if slot in self._unrecorded
             }
             message = messages.Claim(
-                record.service, record.incarnation, slots.compress(held)
+                record.service, record.incarnation, slots.compress(claimed)
             )
             self._outbox.broadcast(message)
--- a/tamarackgap/ownership/takeover.py
+++ b/tamarackgap/ownership/takeover.py
@@ -52,12 +52,12 @@
         self._expiries: dict[str, float] = {}
         self._sealed: set[str] = set()
         self._superseded = False
-        self.begun = now
+        self.begun_at = now
         self.asked_at = float("-inf")
         self.suspected_at = now
         # Whether the epoch is known to have ended, so that its slots may be
         # claimed.
-        self.done = False
+        self.has_ended = False
 
     @property
     def record(self) -> records.LeaseRecord:
@@ -119,7 +119,7 @@
         ranked = sorted(expiries.values())
         return ranked[quorum - 1] + self._linger
 
-    def unanswered(self) -> list[str]:
+    def remaining_witnesses(self) -> list[str]:
         """Returns the witnesses that are not known to have stopped renewing."""
         return [
             witness
--- a/tamarackgap/ownership/witnesshandler.py
+++ b/tamarackgap/ownership/witnesshandler.py
@@ -78,7 +78,7 @@
         )
         return messages.SealReply(message.owner, message.epoch, state, sent_age)
 
-    def silent_owners(self, now: float) -> list[records.LeaseRecord]:
+    def report_silent_owners(self, now: float) -> list[records.LeaseRecord]:
         """Notifies the successors of owners that have stopped renewing.
 
         Returns:
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -32,7 +32,7 @@
     attempt = make_attempt()
     record_answer(attempt, "x", STATE.SEALED, 0.9)
     assert attempt.mode() is takeover.Mode.PENDING
-    assert attempt.unanswered() == ["y", "z"]
+    assert attempt.remaining_witnesses() == ["y", "z"]
 
 
 def test_the_wait_is_the_lease_with_drift_less_the_age():
