--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -18,7 +18,7 @@
 
 
 class EpochIntent(msgspec.Struct, frozen=True):
-    """The wish for a new epoch.
+    """A new epoch that is wanted.
 
     Attributes:
         witnesses: The new epoch's witnesses.
--- a/tamarackgap/ownership/succession.py
+++ b/tamarackgap/ownership/succession.py
@@ -171,7 +171,7 @@
                 self._outbox.send(name, message)
 
     def _take_slots(self, record: records.LeaseRecord, now: float) -> None:
-        """Owns the slots of an ended epoch that name this successor."""
+        """Takes the slots of an ended epoch whose successor is this daemon."""
         before = len(self._unrecorded)
         own = self._outbox.incarnation
         for slot, assignment in slots.expand(record.runs).items():
--- a/tamarackgap/ownership/takeover.py
+++ b/tamarackgap/ownership/takeover.py
@@ -69,8 +69,8 @@
     ) -> None:
         """Records a witness's answer; answers of others are ignored.
 
-        The answer's age of the last grant is counted from the receipt. The
-        grant is older than that by the answer's time on the way, so the wait
+        The age in the answer is taken for the grant's age at receipt. The
+        grant is in fact older, by the time that the answer took, so the wait
         can only become longer than needed.
 
         Args:
