--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -61,7 +61,7 @@
         OSError: If there is no whole answer.
     """
     data = json.dumps(body).encode() if body is not None else b""
-    return control.ask(address, method, path, data, timeout)
+    return control.send_request(address, method, path, data, timeout)
 
 
 @contextlib.contextmanager
--- a/tamarackgap/peers/transport.py
+++ b/tamarackgap/peers/transport.py
@@ -73,7 +73,7 @@
             self._inbox.getsockopt(zmq.FD), sockets.READABLE, self._readable
         )
         self._more = False
-        timers.each_turn(self._drain_rest)
+        timers.each_iteration(self._drain_rest)
         # The descriptor is edge-triggered: a missed edge is made up here.
         timers.every(_MISSED_EDGE_S, self._drain)
 
--- a/tamarackgap/platform/operatorconfig.py
+++ b/tamarackgap/platform/operatorconfig.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from tamarackgap import logs, types
-from tamarackgap.network import door
+from tamarackgap.network import httpserver
 from tamarackgap.traffic import routetable
 
 _IDEMPOTENT = {"idempotent": True, "non_idempotent": False}
@@ -66,7 +66,7 @@
         return None
     routes: list[routetable.Route] = []
     services: dict[types.ServiceName, routetable.Service] = {}
-    limits = door.Limits()
+    limits = httpserver.Limits()
     for resource in found.resources:
         try:
             match resource.type:
@@ -118,9 +118,9 @@
     )
 
 
-def _limits(resource: _Resource) -> door.Limits:
+def _limits(resource: _Resource) -> httpserver.Limits:
     spec = msgspec.json.decode(resource.spec, type=_Limits)
-    return door.Limits(
+    return httpserver.Limits(
         spec.max_header_bytes,
         spec.max_body_bytes,
         spec.header_timeout_ms / 1000,
--- a/tamarackgap/platform/requests.py
+++ b/tamarackgap/platform/requests.py
@@ -3,7 +3,7 @@
 from returns import result
 
 from tamarackgap import types
-from tamarackgap.network import door, httplink
+from tamarackgap.network import httppool, httpserver
 from tamarackgap.peers import calls
 from tamarackgap.placement import slots
 from tamarackgap.platform import names
@@ -38,7 +38,7 @@
 
 
 def decode_call(
-    incoming: door.Incoming, origin: types.ServiceName
+    incoming: httpserver.IncomingRequest, origin: types.ServiceName
 ) -> result.Result[adapter.DecodedRequest, str]:
     """Returns a client's request, or what is wrong with it."""
     host = b""
@@ -108,7 +108,7 @@
     return head.encode("ascii") + body
 
 
-def is_answer_to(request: str, answer: httplink.Answer) -> bool:
+def is_answer_to(request: str, answer: httppool.Answer) -> bool:
     """Returns whether an answer is the one to a request.
 
     Servers echo the id, but for some refusals.
@@ -119,7 +119,7 @@
     return echoed == request.encode("latin-1")
 
 
-def decode_answer(leg: int, answer: httplink.Answer) -> calls.Completion:
+def decode_answer(leg: int, answer: httppool.Answer) -> calls.Completion:
     """Returns what a server's answer means."""
     if answer.status == _MISDIRECTED:
         return calls.Completion(
@@ -153,7 +153,7 @@
     )
 
 
-def _is_full(answer: httplink.Answer) -> bool:
+def _is_full(answer: httppool.Answer) -> bool:
     """Returns whether a server that refused a request had no slot for it.
 
     One that does not tell its load is taken to be full.
--- a/tamarackgap/platform/servers.py
+++ b/tamarackgap/platform/servers.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from tamarackgap import logs
-from tamarackgap.network import door, httplink
+from tamarackgap.network import httppool, httpserver
 from tamarackgap.platform import names, requests
 from tamarackgap.traffic import localtarget, slotgrants
 
@@ -38,7 +38,7 @@
 
 
 def decode_announcement(
-    incoming: door.Incoming,
+    incoming: httpserver.IncomingRequest,
 ) -> localtarget.Announcement | None:
     """Returns what a server says of itself, or None for anything else."""
     path = incoming.target.partition("?")[0]
@@ -93,7 +93,7 @@
     return requests.encode_json("POST", path, "target", body)
 
 
-def decode_order_answer(answer: httplink.Answer) -> slotgrants.OrderResult:
+def decode_order_answer(answer: httppool.Answer) -> slotgrants.OrderResult:
     """Returns what a server's answer to an order means."""
     handover = answer.header(names.HANDOVER) or b""
     return slotgrants.OrderResult(
--- a/tamarackgap/platform/store.py
+++ b/tamarackgap/platform/store.py
@@ -10,7 +10,7 @@
 from returns import result
 
 from tamarackgap import logs
-from tamarackgap.network import exchanges, httplink, scheduler, sockets
+from tamarackgap.network import exchanges, httppool, scheduler, sockets
 from tamarackgap.ownership import effects
 from tamarackgap.placement import records
 from tamarackgap.platform import names, operatorconfig, requests
@@ -97,7 +97,7 @@
         """
         self._timers = timers
         self._address = address
-        self._link = httplink.Link(
+        self._pool = httppool.ConnectionPool(
             poller, timers, address, _IDLE_S, _SILENCE_MS
         )
         self._counts: dict[str, int] = {}
@@ -197,17 +197,17 @@
         path: str,
         body: bytes,
         timeout: float,
-        done: httplink.Done,
-    ) -> httplink.Exchange:
+        done: httppool.DoneCallback,
+    ) -> httppool.Exchange:
         """Makes a call."""
         kind = path.partition("?")[0]
         data = requests.encode_json(method, path, self._address, body)
 
         def counted(
-            outcome: result.Result[httplink.Answer, exchanges.Failure],
+            outcome: result.Result[httppool.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
-                case result.Success(httplink.Answer(status=status)):
+                case result.Success(httppool.Answer(status=status)):
                     name = f"{kind} {status}"
                 case result.Failure(exchanges.Failure(cause=cause)):
                     name = f"{kind} {cause.value}"
@@ -216,7 +216,7 @@
             self._counts[name] = self._counts.get(name, 0) + 1
             done(outcome)
 
-        return self._link.send(lambda: data, timeout, counted)
+        return self._pool.send(lambda: data, timeout, counted)
 
     @property
     def timers(self) -> scheduler.Scheduler:
@@ -290,13 +290,13 @@
         self,
         path: str,
         timeout: float,
-        take: Callable[[httplink.Answer], bool],
+        take: Callable[[httppool.Answer], bool],
     ) -> None:
         def done(
-            outcome: result.Result[httplink.Answer, exchanges.Failure],
+            outcome: result.Result[httppool.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
-                case result.Success(httplink.Answer() as answer):
+                case result.Success(httppool.Answer() as answer):
                     if not take(answer):
                         self._fail(f"status {answer.status}")
                 case result.Failure(exchanges.Failure(cause=cause)):
@@ -321,7 +321,7 @@
             self._is_failing = False
             logs.event("store_regained", table=self._table)
 
-    def _got(self, answer: httplink.Answer) -> bool:
+    def _got(self, answer: httppool.Answer) -> bool:
         page = _decode_rows(answer)
         if page is None:
             return False
@@ -345,7 +345,7 @@
         self._again(0.0)
         return True
 
-    def _fed(self, answer: httplink.Answer) -> bool:
+    def _fed(self, answer: httppool.Answer) -> bool:
         if answer.status == _HISTORY_LOST:
             logs.event("store_history_lost", table=self._table)
             self._revision = None
@@ -366,7 +366,7 @@
         return True
 
 
-def _decode_rows(answer: httplink.Answer) -> _Rows | None:
+def _decode_rows(answer: httppool.Answer) -> _Rows | None:
     if answer.status != _OK:
         return None
     try:
@@ -404,10 +404,10 @@
 def _committed(
     transaction: records.Transaction,
     done: Callable[[effects.CommitState, list[records.Row]], None],
-    outcome: result.Result[httplink.Answer, exchanges.Failure],
+    outcome: result.Result[httppool.Answer, exchanges.Failure],
 ) -> None:
     match outcome:
-        case result.Success(httplink.Answer(status=status) as answer):
+        case result.Success(httppool.Answer(status=status) as answer):
             page = _outcome(answer)
             if page is not None and status == _OK:
                 rows = [
@@ -425,7 +425,7 @@
     done(effects.CommitState.UNKNOWN, [])
 
 
-def _outcome(answer: httplink.Answer) -> _Rows | None:
+def _outcome(answer: httppool.Answer) -> _Rows | None:
     if answer.status not in (_OK, _CONDITION_FAILED):
         return None
     try:
--- a/tamarackgap/processes/daemon.py
+++ b/tamarackgap/processes/daemon.py
@@ -155,7 +155,7 @@
             http=settings.daemon_http_address,
             peers=settings.daemon_peer_address,
         )
-        self._timers.each_turn(self._measure_turn)
+        self._timers.each_iteration(self._measure_turn)
         self._timers.every(_TICK_S, self._tick)
         self._timers.every(_RESIZE_S, self._resize)
         self._timers.every(_GAUGES_S, self._set_gauges)
@@ -271,7 +271,7 @@
     ) -> None:
         now = time.monotonic()
         if state is not effects.CommitState.UNKNOWN:
-            self._reader.heard()
+            self._reader.record_answer()
         self._core.handle_commit_result(change, state, rows, now)
         self._carry_out()
 
@@ -296,7 +296,7 @@
         if (
             self._core.accepting
             or not self._core.owned
-            or not self._reader.is_silent(now)
+            or not self._reader.is_unreachable(now)
             or self._owner.in_progress
         ):
             return
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -13,7 +13,13 @@
 from returns import result
 
 from tamarackgap import logs, metrics, types
-from tamarackgap.network import door, exchanges, httplink, scheduler, sockets
+from tamarackgap.network import (
+    exchanges,
+    httppool,
+    httpserver,
+    scheduler,
+    sockets,
+)
 from tamarackgap.ownership import effects, ownership
 from tamarackgap.peers import calls, messages, transport
 from tamarackgap.placement import records
@@ -97,7 +103,7 @@
         self._rng = random.Random()
         self.poller = sockets.Poller().register(self)
         self.timers = scheduler.Scheduler(now).register(self)
-        self.poller.turn = self.timers.turn
+        self.poller.run_due = self.timers.run_due
         self._table: routetable.RouteTable | None = None
         self._table_since = now()
         self._index: routetable.RouteIndex | None = None
@@ -122,7 +128,7 @@
             _ownership_settings(settings), self._rng, self._must_stay, now()
         )
         self._core.keyed = False
-        self._link = httplink.Link(
+        self._pool = httppool.ConnectionPool(
             self.poller,
             self.timers,
             settings.router_target_address,
@@ -130,7 +136,7 @@
             _TARGET_SILENCE_MS,
         )
         # Orders wait for nobody, and need few of the target's connections.
-        self._orders = httplink.Link(
+        self._orders = httppool.ConnectionPool(
             self.poller,
             self.timers,
             settings.router_target_address,
@@ -158,7 +164,7 @@
             self._service,
             self._core,
             self._holds,
-            self._link,
+            self._pool,
             platform_adapter.codec,
             self.timers,
             self._target_refused,
@@ -199,7 +205,9 @@
         self._runner.observe = self._observe_call
         if settings.router_metrics_address:
             self._open(settings.router_metrics_address, self._pages())
-        self._door = self._open(settings.daemon_http_address, self._serve)
+        self._http_server = self._open(
+            settings.daemon_http_address, self._serve
+        )
         self._open(settings.router_announce_address, self._announced)
         self._open(settings.router_ready_address, self._asked_ready)
         logs.event(
@@ -217,23 +225,25 @@
         self.timers.every(_SWEEP_S, self._runner.refuse_late)
         self.timers.every(_LOAD_S, self._tell_load)
 
-    def _open(self, address: str, serve: door.Serve) -> door.Door:
-        return door.Door(self.poller, self.timers, address, serve)
+    def _open(
+        self, address: str, serve: httpserver.RequestHandler
+    ) -> httpserver.HttpServer:
+        return httpserver.HttpServer(self.poller, self.timers, address, serve)
 
     # Callers.
 
-    def _serve(self, incoming: door.Incoming) -> None:
+    def _serve(self, incoming: httpserver.IncomingRequest) -> None:
         match self._adapter.decode_call(incoming, self._service):
             case result.Failure(problem):
                 logs.request_event("request_malformed", True, problem=problem)
-                incoming.answer(_BAD, [], b"")
+                incoming.respond(_BAD, [], b"")
                 return
             case result.Success(adapter.DecodedRequest() as asked):
                 pass
             case other:
                 raise AssertionError(other)
         if self._index is None:
-            incoming.answer(_UNAVAILABLE, [(b"retry-after", _RETRY_S)], b"")
+            incoming.respond(_UNAVAILABLE, [(b"retry-after", _RETRY_S)], b"")
             return
         route = self._index.find(asked.host, asked.call.request_target)
         if route is None:
@@ -244,33 +254,35 @@
                 host=asked.host,
                 version=self._table.version,
             )
-            incoming.answer(_NO_ROUTE, [], b"")
+            incoming.respond(_NO_ROUTE, [], b"")
             return
         timeout = route.timeout if asked.timeout is None else asked.timeout
         flight = self._entry.submit(
             asked.call,
             route,
-            incoming.begun,
+            incoming.received_at,
             timeout,
             functools.partial(self._answer, incoming),
         )
         if flight.done is not None:
-            incoming.gone = functools.partial(self._entry.cancel, flight)
+            incoming.on_disconnect = functools.partial(
+                self._entry.cancel, flight
+            )
 
     def _answer(
-        self, incoming: door.Incoming, completion: calls.Completion
+        self, incoming: httpserver.IncomingRequest, completion: calls.Completion
     ) -> None:
         said = self._adapter.encode_answer(completion)
-        incoming.answer(said.status, said.headers, said.body)
+        incoming.respond(said.status, said.headers, said.body)
 
     # The target.
 
-    def _announced(self, incoming: door.Incoming) -> None:
+    def _announced(self, incoming: httpserver.IncomingRequest) -> None:
         said = self._adapter.decode_announcement(incoming)
         if said is None:
-            incoming.answer(_BAD, [], b"")
+            incoming.respond(_BAD, [], b"")
             return
-        incoming.answer(_OK, [], b"")
+        incoming.respond(_OK, [], b"")
         self._target_changed(self._beside.handle_announcement(said, now()))
         if self._beside.phase is localtarget.Phase.SERVING:
             self._holds.resume()
@@ -331,7 +343,7 @@
         these keys until they end.
         """
         doubtful = self._holds.stop()
-        self._link.close()
+        self._pool.close()
         self._orders.close()
         if not doubtful:
             self._abandon_keys("target-started-anew")
@@ -370,10 +382,10 @@
         done: Callable[[slotgrants.OrderResult], None],
     ) -> None:
         def answered(
-            outcome: result.Result[httplink.Answer, exchanges.Failure],
+            outcome: result.Result[httppool.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
-                case result.Success(httplink.Answer() as answer):
+                case result.Success(httppool.Answer() as answer):
                     done(self._adapter.decode_order_answer(answer))
                 case result.Failure(exchanges.Failure(cause=cause)):
                     logs.event("order_unanswered", cause=cause.value)
@@ -421,7 +433,7 @@
         self._table = table
         self._table_since = now()
         self._index = routetable.RouteIndex(table)
-        self._door.limits = table.limits
+        self._http_server.limits = table.limits
         self._entry.configure(table)
         service = table.services.get(self._service)
         keyed = service is not None and service.keyed
@@ -541,10 +553,10 @@
             "peer_bytes_sent": self._peers.sent_bytes,
             "peer_messages_dropped": self._peers.dropped_messages,
             "peer_frames_malformed": self._peers.malformed_frames,
-            "open_connections": self._door.connections,
+            "open_connections": self._http_server.connections,
         }
 
-    def _pages(self) -> door.Serve:
+    def _pages(self) -> httpserver.RequestHandler:
         return routerpages.build(
             routerpages.PageSources(
                 core=self._core,
@@ -565,13 +577,13 @@
 
     # Readiness and end.
 
-    def _asked_ready(self, incoming: door.Incoming) -> None:
+    def _asked_ready(self, incoming: httpserver.IncomingRequest) -> None:
         ready = (
             self._leave_at is None
             and self._table is not None
             and self._core.view.is_read
         )
-        incoming.answer(_OK if ready else _UNAVAILABLE, [], b"")
+        incoming.respond(_OK if ready else _UNAVAILABLE, [], b"")
 
     @circuits.handler("signal", channel="*")
     def _on_signal(
@@ -591,7 +603,7 @@
         moment = now()
         self._leave_at = moment + _LINGER_S
         self._end_at = moment + self._settings.router_grace / 1000 - _LAST_S
-        self._door.leaving = True
+        self._http_server.draining = True
         self._core.drain()
         # The target may stay, with slots that others can use meanwhile.
         self.timers.after(_LINGER_S - _STOP_BEFORE_S, self._stop_calls)
@@ -625,14 +637,14 @@
         """Ends the process, once nothing depends on it any more."""
         if self._stopped:
             return
-        if moment > self._leave_at and self._door.is_open:
+        if moment > self._leave_at and self._http_server.is_open:
             # Callers that come later find nobody, and lose nothing.
-            self._door.close()
+            self._http_server.close()
         idle = (
-            not self._door.is_open
+            not self._http_server.is_open
             and not self._entry.in_flight
             and not self._runner.in_progress
-            and not self._door.in_progress
+            and not self._http_server.in_progress
             and not self._core.owned
         )
         if not idle and moment < self._end_at:
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from tamarackgap import metrics
-from tamarackgap.network import door
+from tamarackgap.network import httpserver
 from tamarackgap.ownership import ownership, reports
 from tamarackgap.placement import slots
 from tamarackgap.traffic import (
@@ -104,7 +104,7 @@
     pending: str
 
 
-def build(parts: PageSources) -> door.Serve:
+def build(parts: PageSources) -> httpserver.RequestHandler:
     """Returns what answers requests for the pages."""
     found: dict[str, Page] = {
         "/metrics": lambda query: _metrics(parts),
@@ -115,18 +115,18 @@
         "/explain": lambda query: _json(_explain(parts, query)),
     }
 
-    def answer(incoming: door.Incoming) -> None:
+    def answer(incoming: httpserver.IncomingRequest) -> None:
         path, _, query = incoming.target.partition("?")
         page = found.get(path)
         if page is None:
-            incoming.answer(_NOT_FOUND, [], b"no such page")
+            incoming.respond(_NOT_FOUND, [], b"no such page")
             return
         try:
             said = page(dict(urllib.parse.parse_qsl(query)))
         except (KeyError, ValueError) as error:
-            incoming.answer(_BAD, [], str(error).encode("utf-8"))
+            incoming.respond(_BAD, [], str(error).encode("utf-8"))
             return
-        incoming.answer(said.status, said.headers, said.body)
+        incoming.respond(said.status, said.headers, said.body)
 
     return answer
 
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -8,7 +8,7 @@
 from returns import result
 
 from tamarackgap import logs, types
-from tamarackgap.network import exchanges, httplink, scheduler
+from tamarackgap.network import exchanges, httppool, scheduler
 from tamarackgap.ownership import ownership
 from tamarackgap.peers import calls
 from tamarackgap.placement import loadstats, slots
@@ -44,8 +44,8 @@
     """
 
     encode: Callable[[calls.Dispatch, int, str], bytes]
-    is_answer_to: Callable[[str, httplink.Answer], bool]
-    decode_answer: Callable[[int, httplink.Answer], calls.Completion]
+    is_answer_to: Callable[[str, httppool.Answer], bool]
+    decode_answer: Callable[[int, httppool.Answer], calls.Completion]
 
 
 class Leg(msgspec.Struct, eq=False):
@@ -67,7 +67,7 @@
     reply: Reply | None
     begun: float = 0.0
     waiting: admission.QueuedCall | None = None
-    exchange: httplink.Exchange | None = None
+    exchange: httppool.Exchange | None = None
 
 
 class Runner:
@@ -78,7 +78,7 @@
         service: types.ServiceName,
         core: ownership.Ownership,
         holds: slotgrants.SlotGrants,
-        link: httplink.Link,
+        pool: httppool.ConnectionPool,
         codec: Codec,
         timers: scheduler.Scheduler,
         on_connection_refused: Callable[[], None],
@@ -90,7 +90,7 @@
             service: The target's service.
             core: Says which keys are owned.
             holds: Says which keys the target holds.
-            link: Connections to the target.
+            pool: Connections to the target.
             codec: Spells calls and answers.
             timers: The loop's scheduler.
             on_connection_refused: Called when the target refuses connections.
@@ -99,7 +99,7 @@
         self._service = service
         self._core = core
         self._holds = holds
-        self._link = link
+        self._pool = pool
         self._codec = codec
         self._timers = timers
         self._on_connection_refused = on_connection_refused
@@ -164,7 +164,7 @@
         """Notes that there is no target any more."""
         self._instance = ""
         self._admission.resize(0, self._timers.now)
-        self._link.close()
+        self._pool.close()
 
     def pop_crashed_runs(self) -> list[tuple[str, float, float]]:
         """Returns the runs that a crash of the target has just ended.
@@ -237,7 +237,7 @@
             ):
                 self._legs.pop((sender, leg_id), None)
         elif leg.dispatch.idempotent:
-            self._link.cancel(leg.exchange)
+            self._pool.cancel(leg.exchange)
 
     def _refusal(
         self, dispatch: calls.Dispatch, now: float
@@ -300,7 +300,7 @@
             return
         leg.begun = now
         request = dispatch.call.request_id
-        leg.exchange = self._link.send(
+        leg.exchange = self._pool.send(
             functools.partial(self._encode, leg, self._instance),
             left + _GRACE_S,
             functools.partial(self._ran, leg),
@@ -317,12 +317,12 @@
     def _ran(
         self,
         leg: Leg,
-        outcome: result.Result[httplink.Answer, exchanges.Failure],
+        outcome: result.Result[httppool.Answer, exchanges.Failure],
     ) -> None:
         now = self._timers.now
         worked: float | None = None
         match outcome:
-            case result.Success(httplink.Answer() as answer):
+            case result.Success(httppool.Answer() as answer):
                 self.last_answered_at = now
                 completion = self._codec.decode_answer(leg.dispatch.leg, answer)
                 if completion.verdict is types.Verdict.ANSWERED:
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -14,7 +14,7 @@
 class Timers:
     """Timers of which nothing becomes due."""
 
-    def each_turn(self, call):
+    def each_iteration(self, call):
         pass
 
     def every(self, seconds, call):
--- a/tests/platform/test_operatorconfig.py
+++ b/tests/platform/test_operatorconfig.py
@@ -22,7 +22,7 @@
     ]
     assert (route.timeout, route.latency_objective, route.rank) == (2.0, 0.4, 0)
     assert table.services["a"].keyed
-    assert table.limits.request_s == 0.5
+    assert table.limits.request_timeout_s == 0.5
 
 
 def test_versions_are_hexadecimal():
--- a/tests/traffic/test_runner.py
+++ b/tests/traffic/test_runner.py
@@ -5,7 +5,7 @@
 from returns import result
 
 from tamarackgap import types
-from tamarackgap.network import exchanges, httplink
+from tamarackgap.network import exchanges, httppool
 from tamarackgap.peers import calls
 from tamarackgap.traffic import crashes, runner
 
@@ -41,7 +41,7 @@
         self.doubts += 1
 
     def _send(self, data, timeout, done, belongs):
-        done(result.Success(httplink.Answer(503, [], b"")))
+        done(result.Success(httppool.Answer(503, [], b"")))
 
     def _judge(self, leg, answer):
         return calls.Completion(leg, types.Verdict.NOT_RUN, self.reason)
@@ -122,7 +122,7 @@
             failure = exchanges.Failure(exchanges.Cause.CLOSED, True)
             self.sent[index](result.Failure(failure))
         else:
-            self.sent[index](result.Success(httplink.Answer(200, [], b"")))
+            self.sent[index](result.Success(httppool.Answer(200, [], b"")))
 
 
 def test_a_call_sent_after_a_crash_is_not_taken_for_its_cause():
