--- a/tests/processes/test_daemon.py
+++ b/tests/processes/test_daemon.py
@@ -12,14 +12,14 @@
 from demo import cluster
 from tamarackgap.commands import cmdline
 from tamarackgap.peers import messages
-from tests.support import callers, processes
+from tests.support import callers, clusters
 
 BODY_LIMIT = 20_000
 
 
 @pytest.fixture(scope="module")
 def running(tmp_path_factory):
-    found = processes.small_cluster(
+    found = clusters.small_cluster(
         tmp_path_factory.mktemp("cluster"),
         body=BODY_LIMIT,
         answer=30_000,
@@ -30,7 +30,7 @@
 
 
 def works(running):
-    status, verdict, data = callers.ask(
+    status, verdict, data = callers.send_request(
         running.places[0], "GET", "/v1/seats/browse?key=still-works"
     )
     return status == 200 and json.loads(data)["key"] == "still-works"
@@ -41,7 +41,7 @@
         for service in ("seats", "payments"):
             key = f"hall {index} ghế"
             path = f"/v1/{service}/x?key=" + "hall%20{}%20gh%E1%BA%BF"
-            status, verdict, data = callers.ask(
+            status, verdict, data = callers.send_request(
                 place, "GET", path.format(index)
             )
             assert (status, verdict) == (200, "answered")
@@ -52,9 +52,9 @@
 
 def test_all_daemons_send_a_key_to_the_same_target(running):
     targets = {
-        json.loads(callers.ask(place, "GET", "/v1/seats/x?key=one")[2])[
-            "target"
-        ]
+        json.loads(
+            callers.send_request(place, "GET", "/v1/seats/x?key=one")[2]
+        )["target"]
         for place in running.places
     }
     assert len(targets) == 1
@@ -64,7 +64,7 @@
     request = f"{int(time.time() * 1000)}-fee"
     path = "/v1/payments/pay?key=family-1"
     first, second = (
-        callers.ask(
+        callers.send_request(
             running.places[entry],
             "POST",
             path,
@@ -98,7 +98,7 @@
 def test_bad_input_gets_one_clear_refusal(
     running, path, headers, status, reason
 ):
-    found = callers.ask(running.places[1], "GET", path, **headers)
+    found = callers.send_request(running.places[1], "GET", path, **headers)
     assert found[:2] == (status, "not-run")
     assert json.loads(found[2])["reason"] == reason
     assert works(running)
@@ -106,7 +106,7 @@
 
 @pytest.mark.parametrize("size", [BODY_LIMIT + 1, 10 * BODY_LIMIT])
 def test_a_body_over_the_limit_is_refused(running, size):
-    found = callers.ask(
+    found = callers.send_request(
         running.places[1], "POST", "/v1/seats/x?key=a", b"x" * size
     )
     assert found[:2] == (413, "not-run")
@@ -126,7 +126,7 @@
 def test_what_is_no_http_request_harms_nobody(running, text):
     host, _, port = running.places[1].http.rpartition(":")
     with socket.create_connection(
-        (host, int(port)), timeout=callers.WAIT_S
+        (host, int(port)), timeout=callers.TIMEOUT_S
     ) as sock:
         sock.sendall(text)
         answer = sock.recv(200)
@@ -143,7 +143,7 @@
         push.linger = 2000
         push.connect(f"tcp://{place.peer}")
         push.send(frame)
-        callers.eventually(
+        callers.wait_until(
             lambda: log.read_text().count("event=peer_frame_malformed") > before
         )
     assert works(running)
@@ -160,7 +160,7 @@
     with zmq.Context() as context, context.socket(zmq.PUSH) as push:
         push.connect(f"tcp://{place.peer}")
         push.send(frame)
-        callers.eventually(
+        callers.wait_until(
             lambda: (
                 "event=peer_of_other_deployment deployment=elsewhere"
                 in log.read_text()
@@ -180,7 +180,7 @@
     place = callers.owner_of(running, "payments", "k1")
     cluster.call(place.target, "POST", "/faults", fault)
     try:
-        found = callers.ask(
+        found = callers.send_request(
             running.places[0], "POST", "/v1/payments/pay?key=k1"
         )
     finally:
@@ -189,7 +189,10 @@
     assert found[:2] == (504, "may-have-run")
     assert json.loads(found[2])["reason"] == reason
     assert (
-        callers.ask(running.places[0], "GET", "/v1/payments/x?key=k1")[0] == 200
+        callers.send_request(running.places[0], "GET", "/v1/payments/x?key=k1")[
+            0
+        ]
+        == 200
     )
 
 
@@ -203,19 +206,21 @@
             "connections": 1,
         }
     )
-    found = callers.ask(running.places[0], "POST", "/announce", body.encode())
+    found = callers.send_request(
+        running.places[0], "POST", "/announce", body.encode()
+    )
     assert found[0] == 400
     assert b"service other: expected seats" in found[2]
 
 
 def test_metrics_are_served(running):
-    status, _, text = callers.ask(running.places[0], "GET", "/metrics")
+    status, _, text = callers.send_request(running.places[0], "GET", "/metrics")
     assert status == 200
     assert b"tamarackgap_owned_slots" in text
 
 
 def test_a_decision_line_has_its_inputs(running):
-    callers.ask(running.places[0], "GET", "/v1/seats/x?key=logged-key")
+    callers.send_request(running.places[0], "GET", "/v1/seats/x?key=logged-key")
     log = running.folder / f"{running.places[0].name}.log"
     lines = log.read_text().splitlines()
     line = next(
@@ -249,12 +254,12 @@
     place.daemon_process.send_signal(signal.SIGKILL)
     place.daemon_process.wait()
     others = [other for other in running.places if other is not place]
-    found = callers.ask(
+    found = callers.send_request(
         others[0], "GET", "/v1/seats/x?key=k2", X_Deadline_Ms="20000"
     )
     assert found[0] == 200
     running.start_daemon(place)
-    assert running.ready(processes.READY_S) is not None
+    assert running.ready(clusters.READY_TIMEOUT_S) is not None
 
 
 def test_a_draining_daemon_cuts_nothing_and_exits_with_0(running):
@@ -263,18 +268,18 @@
     place.daemon_process.send_signal(signal.SIGTERM)
     for number in range(20):
         path = f"/v1/payments/pay?key=k{number}"
-        assert callers.ask(others[number % 5], "POST", path)[0] == 200
-    assert place.daemon_process.wait(timeout=callers.WAIT_S) == 0
+        assert callers.send_request(others[number % 5], "POST", path)[0] == 200
+    assert place.daemon_process.wait(timeout=callers.TIMEOUT_S) == 0
     out = (running.folder / f"daemon-{place.name}.out").read_text()
     assert "leaked" not in out
     running.start_daemon(place)
-    assert running.ready(processes.READY_S) is not None
+    assert running.ready(clusters.READY_TIMEOUT_S) is not None
 
 
 def test_an_address_in_use_is_said_in_one_line(running):
     place = running.places[0]
     process = running.run_again(place)
-    assert process.wait(timeout=callers.WAIT_S) == 1
+    assert process.wait(timeout=callers.TIMEOUT_S) == 1
     out = (running.folder / f"again-{place.name}.out").read_text()
     assert "cannot start" in out
     assert "Traceback" not in out
