--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -265,9 +265,9 @@
         """Switches faults of the platform."""
         call(self.table, "POST", "/faults", values)
 
-    def runs(self) -> list[target_lib.Run]:
+    def runs(self) -> list[target_lib.RunRecord]:
         """Returns everything that the targets say took effect."""
-        decoder = msgspec.json.Decoder(target_lib.Run)
+        decoder = msgspec.json.Decoder(target_lib.RunRecord)
         found = []
         for place in self.places:
             path = self.folder / f"{place.name}.runs"
--- a/tests/commands/test_policy.py
+++ b/tests/commands/test_policy.py
@@ -37,7 +37,7 @@
 
 
 def row(table):
-    found = [row for row in table.since(0)[1] if row.key == KEY]
+    found = [row for row in table.rows_since(0)[1] if row.key == KEY]
     return found[0] if found else None
 
 
@@ -58,5 +58,7 @@
     edit = policy.edit(None, KEY, {"weight": 1}, "ana", 1)
     assert table.commit(edit.transaction)[0]
     assert not table.commit(edit.transaction)[0]
-    history = [r for r in table.since(0)[1] if r.key.startswith("history/")]
+    history = [
+        r for r in table.rows_since(0)[1] if r.key.startswith("history/")
+    ]
     assert len(history) == 1
--- a/tests/support/world.py
+++ b/tests/support/world.py
@@ -249,7 +249,7 @@
             if not self.table_up or node.mute or node.deaf or node.blind:
                 core.record_table_failure()
                 return
-            revision, rows = self.table.since(core.view.cursor)
+            revision, rows = self.table.rows_since(core.view.cursor)
             core.apply_table_read(rows, revision, node.clock(self.now))
 
         self.later(2 * self.table_delay, arrive)
