--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -262,7 +262,7 @@
             ):
                 core.record_table_failure()
                 return
-            revision, rows = self.table.since(core.view.cursor)
+            revision, rows = self.table.rows_since(core.view.cursor)
             core.apply_table_read(rows, revision, daemon.clock(self.now))
 
         self.schedule(2 * self.table_delay, arrive)
