--- a/tamarackgap/requests/executor.py
+++ b/tamarackgap/requests/executor.py
@@ -1,4 +1,8 @@
-"""The owner's side of a request: check, admit, hand over, remember."""
+"""Executes requests for the slots of this daemon at its target.
+
+A request is checked, queued and sent to the target. The results of
+non-idempotent requests are kept, so that none of them is executed twice.
+"""
 
 import functools
 from collections.abc import Callable
@@ -19,24 +23,25 @@
     targetclient,
 )
 
-# A grant must have ended at the target before a successor begins.
+# A request must have taken effect this long before a successor may serve.
 _LEASE_MARGIN_S = 0.02
-_HOT_KEYS = 5
+_MAX_HOT_KEYS = 5
 
 ReplyCallback = Callable[[messages.ForwardReply], None]
 
 
 class Leg(msgspec.Struct):
-    """A request that this owner deals with.
+    """A request that this daemon has received as the owner of its key.
 
     Attributes:
         forward: The request.
-        deadline: The caller's deadline on this clock, seconds.
-        reply: Takes the outcome, once.
-        fingerprint: Fingerprint of what it asks for.
-        exclusive: Whether nothing else may run beside it.
-        started_at: When it was handed over, seconds.
-        cancel: Cancels it at the target, once it was handed over.
+        deadline: The caller's deadline, monotonic seconds of this VM.
+        reply: Called once with the reply.
+        fingerprint: Hash of what the request asks for.
+        exclusive: Whether the target may execute nothing else meanwhile.
+        started_at: Time at which it was sent to the target, monotonic
+            seconds.
+        cancel: Cancels the request at the target; None until it is sent.
     """
 
     forward: messages.Forward
@@ -49,7 +54,7 @@
 
 
 class Executor:
-    """All requests for keys that this daemon owns."""
+    """Handles all requests that this daemon receives as an owner."""
 
     def __init__(
         self,
@@ -62,63 +67,70 @@
         wall_ms: Callable[[], int],
         counters: metrics.Metrics,
     ) -> None:
-        """Creates an owner without requests.
+        """Creates an executor without requests.
 
         Args:
-            core: Says which slots are owned.
-            target: The target.
-            dedup_cache: Ids of non-idempotent requests.
-            quarantined_requests: Contents that were there when a target
-                crashed.
-            report_crash: Tells other daemons of such contents.
+            core: Has the owned slots and the lease.
+            target: Client of the local target.
+            dedup_cache: Results of non-idempotent requests.
+            quarantined_requests: Requests that a target was executing when
+                it crashed.
+            report_crash: Sends a crash report to the other daemons.
             clock: The VM's monotonic clock, seconds.
             wall_ms: Wall clock, milliseconds since 1970.
-            counters: Metrics.
+            counters: Counts results of legs.
         """
         self._core = core
         self._target = target
-        self._memory = dedup_cache
-        self._suspects = quarantined_requests
-        self._crashed = report_crash
-        self._fitness = health.PassiveHealthCheck()
-        self._meter = loadstats.SlotMeter(clock())
+        self._dedup_cache = dedup_cache
+        self._quarantine = quarantined_requests
+        self._report_crash = report_crash
+        self._target_health = health.PassiveHealthCheck()
+        self._slot_meter = loadstats.SlotMeter(clock())
         self._hot_keys = loadstats.HotKeySketch(clock())
         self._clock = clock
         self._wall_ms = wall_ms
         self._metrics = counters
         self._limiter = limiter.Limiter()
         self._legs: dict[str, Leg] = {}
-        self._busy: dict[int, int] = {}
+        self._running_per_slot: dict[int, int] = {}
 
     @property
     def in_progress(self) -> int:
-        """Number of requests at the target."""
+        """Number of requests that the target is executing."""
         return self._limiter.in_progress
 
     @property
     def queued(self) -> int:
-        """Number of requests that wait for the target."""
+        """Number of requests that wait to be sent to the target."""
         return self._limiter.queued
 
     def is_slot_busy(self, slot: int) -> bool:
-        """Returns whether requests of a slot are at the target."""
-        return slot in self._busy
+        """Returns whether the target is executing requests for a slot."""
+        return slot in self._running_per_slot
 
     def is_target_healthy(self) -> bool:
-        """Returns whether the target answers what it is given."""
-        return self._fitness.is_healthy(self._clock())
+        """Returns whether the target answers the requests it is sent."""
+        return self._target_health.is_healthy(self._clock())
 
     def slot_loads(self) -> dict[int, float]:
-        """Returns requests a second of each slot that is owned here."""
-        since = {slot: held.since for slot, held in self._core.owned.items()}
-        return self._meter.rates(since, self._clock())
+        """Returns requests a second of each owned slot."""
+        since = {
+            slot: owned_slot.since
+            for slot, owned_slot in self._core.owned.items()
+        }
+        return self._slot_meter.rates(since, self._clock())
 
     def hot_keys(self) -> list[loadstats.HotKey]:
-        """Returns the keys that bring most load."""
-        return self._hot_keys.hottest(_HOT_KEYS)
+        """Returns the keys with most requests."""
+        return self._hot_keys.hottest(_MAX_HOT_KEYS)
 
     def apply_limits(self, policy: records.Policy) -> None:
-        """Follows the target's announcement and the operators' limits."""
+        """Applies the limits that the target and the operators have set.
+
+        Args:
+            policy: The operators' settings for this service.
+        """
         limit = self._target.concurrency
         if policy.in_progress:
             limit = min(limit, policy.in_progress)
@@ -130,43 +142,52 @@
             self._limiter.start_queued(now)
 
     def submit(self, forward: messages.Forward, reply: ReplyCallback) -> None:
-        """Deals with a request; `reply` is called once, perhaps at once."""
+        """Accepts a request.
+
+        Args:
+            forward: The request.
+            reply: Called once with the reply, possibly before this method
+                returns.
+        """
         now = self._clock()
         leg = Leg(forward, now + forward.remaining, reply)
-        refusal = self._refusal(forward)
+        refusal = self._check(forward)
         if refusal is not None:
             self._answer(leg, verdicts.not_run(refusal))
             return
         if not forward.idempotent:
-            outcome = self._repeat(forward)
+            outcome = self._known_result(forward)
             if outcome is not None:
                 self._answer(leg, outcome)
                 return
         leg.fingerprint = quarantine.fingerprint_of(forward)
-        standing = self._suspects.state(leg.fingerprint, now)
-        if standing is quarantine.QuarantineState.BLOCKED:
+        state = self._quarantine.state(leg.fingerprint, now)
+        if state is quarantine.QuarantineState.BLOCKED:
             reason = types.Reason.CRASHES_TARGETS
             self._answer(leg, verdicts.not_run(reason))
             return
-        leg.exclusive = standing is quarantine.QuarantineState.SUSPECTED
+        leg.exclusive = state is quarantine.QuarantineState.SUSPECTED
         self._legs[forward.leg] = leg
-        waiting = limiter.QueuedRequest(
+        queued = limiter.QueuedRequest(
             leg.deadline,
             functools.partial(self._start, leg),
             functools.partial(self._shed, leg),
             forward.urgent,
             leg.exclusive,
         )
-        if not self._limiter.admit(waiting, now):
+        if not self._limiter.admit(queued, now):
             self._answer(leg, verdicts.not_run(types.Reason.QUEUE_FULL))
 
     def cancel(self, leg_id: str) -> None:
-        """Gives a request up: its caller went away."""
+        """Cancels a request whose caller has disconnected.
+
+        A request that is still queued is not removed.
+        """
         leg = self._legs.get(leg_id)
         if leg is not None and leg.cancel is not None:
             leg.cancel()
 
-    def _refusal(self, forward: messages.Forward) -> types.Reason | None:
+    def _check(self, forward: messages.Forward) -> types.Reason | None:
         if forward.owner != self._core.incarnation:
             return types.Reason.WRONG_OWNER
         service = self._core.settings.service
@@ -180,54 +201,65 @@
             return types.Reason.TARGET_ABSENT
         return refusal
 
-    def _repeat(self, forward: messages.Forward) -> verdicts.Result | None:
-        """Returns the result of a request that must not run (again)."""
-        held = self._core.find(forward.slot)
+    def _known_result(
+        self, forward: messages.Forward
+    ) -> verdicts.Result | None:
+        """Returns the result of a request that must not be executed.
+
+        Returns None if the request was certainly not executed before.
+        """
+        owned_slot = self._core.find(forward.slot)
         wall_ms = self._wall_ms()
-        held_ms = int((self._clock() - held.since) * 1000)
-        known = self._memory.lookup(
+        owned_ms = int((self._clock() - owned_slot.since) * 1000)
+        request_state = self._dedup_cache.lookup(
             forward.request_id,
             forward.attempt,
             forward.first_sent_ms,
-            wall_ms - held_ms,
+            wall_ms - owned_ms,
             wall_ms,
         )
-        match known:
+        match request_state:
             case dedup.RequestState.FRESH:
                 return None
             case dedup.RequestState.FINISHED:
-                return self._memory.result_of(forward.request_id)
+                return self._dedup_cache.result_of(forward.request_id)
             case dedup.RequestState.IN_PROGRESS:
                 return verdicts.may_have_run(types.Reason.IN_PROGRESS)
             case dedup.RequestState.UNKNOWN:
                 return verdicts.may_have_run(types.Reason.REPEAT_UNKNOWN)
 
     def _start(self, leg: Leg) -> None:
-        """Hands a request over, if it still may be: time has gone by."""
+        """Sends a request to the target.
+
+        It may have been queued for long, so that all checks are repeated.
+        """
         forward = leg.forward
         now = self._clock()
-        refusal = self._refusal(forward)
+        refusal = self._check(forward)
         if refusal is None and now >= leg.deadline:
             refusal = types.Reason.DEADLINE_PASSED
-        if refusal is None and self._became_suspect(leg, now):
-            # It waited while another one like it crashed the target.
+        if refusal is None and self._is_newly_quarantined(leg, now):
+            # The target has crashed while it ran a request with the same
+            # fingerprint. On a retry, this one runs exclusively.
             refusal = types.Reason.TARGET_ABSENT
         if refusal is not None:
             self._finish(leg, verdicts.not_run(refusal))
             return
-        held = self._core.find(forward.slot)
+        owned_slot = self._core.find(forward.slot)
         leg.started_at = now
         if not forward.idempotent:
-            repeat = self._repeat(forward)
-            if repeat is not None:
-                self._finish(leg, repeat)
+            known_result = self._known_result(forward)
+            if known_result is not None:
+                self._finish(leg, known_result)
                 return
-            self._memory.record_start(forward.request_id, self._wall_ms())
-        self._busy[forward.slot] = self._busy.get(forward.slot, 0) + 1
-        self._meter.count(forward.slot, now)
+            self._dedup_cache.record_start(forward.request_id, self._wall_ms())
+        self._running_per_slot[forward.slot] = (
+            self._running_per_slot.get(forward.slot, 0) + 1
+        )
+        self._slot_meter.count(forward.slot, now)
         self._hot_keys.count(forward.key, now)
-        order = targetclient.TargetRequest(
-            forward, held.fence, self._run_until(leg)
+        target_request = targetclient.TargetRequest(
+            forward, owned_slot.fence, self._effect_deadline(leg)
         )
         logs.event(
             "handed_over",
@@ -236,75 +268,82 @@
             slot=forward.slot,
             owner=forward.owner,
             epoch=self._core.epoch,
-            fence=held.fence,
+            fence=owned_slot.fence,
             lease_left=round(self._core.lease_until() - now, 4),
             in_progress=self.in_progress,
             alone=leg.exclusive,
         )
-        leg.cancel = self._target.run(order, functools.partial(self._ran, leg))
+        leg.cancel = self._target.run(
+            target_request, functools.partial(self._handle_result, leg)
+        )
 
-    def _run_until(self, leg: Leg) -> float:
-        """Returns the time by which the request must have taken effect.
+    def _effect_deadline(self, leg: Leg) -> float:
+        """Returns the time by which a request must have taken effect.
 
-        A target that checks grants stops by itself when the lease ends. For
-        any other the successor waits for the linger, and not longer.
+        A target that checks grants stops by itself when the lease ends. With
+        any other target, a successor serves once the linger time after the
+        lease's end has passed.
         """
         if self._target.checks_grants:
             return leg.deadline
         lease_end = self._core.lease_until() - _LEASE_MARGIN_S
         return min(leg.deadline, lease_end + self._core.linger)
 
-    def _ran(self, leg: Leg, outcome: verdicts.Result) -> None:
+    def _handle_result(self, leg: Leg, outcome: verdicts.Result) -> None:
         slot = leg.forward.slot
-        left = self._busy.pop(slot) - 1
-        if left:
-            self._busy[slot] = left
+        remaining = self._running_per_slot.pop(slot) - 1
+        if remaining:
+            self._running_per_slot[slot] = remaining
         if not leg.forward.idempotent:
-            self._memory.record_result(leg.forward.request_id, outcome)
-        self._judge_target(leg, outcome)
+            self._dedup_cache.record_result(leg.forward.request_id, outcome)
+        self._learn_from(leg, outcome)
         self._finish(leg, outcome)
 
-    def _became_suspect(self, leg: Leg, now: float) -> bool:
-        standing = self._suspects.state(leg.fingerprint, now)
+    def _is_newly_quarantined(self, leg: Leg, now: float) -> bool:
+        state = self._quarantine.state(leg.fingerprint, now)
         return (
-            not leg.exclusive
-            and standing is not quarantine.QuarantineState.CLEAR
+            not leg.exclusive and state is not quarantine.QuarantineState.CLEAR
         )
 
-    def _judge_target(self, leg: Leg, outcome: verdicts.Result) -> None:
-        """Learns from a run what it says of the target and the request."""
+    def _learn_from(self, leg: Leg, outcome: verdicts.Result) -> None:
+        """Updates limits, health and quarantine from a result."""
         now = self._clock()
         refusal = outcome.swap().value_or(None)
         if refusal is None:
-            self._fitness.record_answer()
+            self._target_health.record_answer()
             self._limiter.record_answer()
             self._target.record_answer()
             if leg.exclusive:
-                self._suspects.remove(leg.fingerprint)
+                self._quarantine.remove(leg.fingerprint)
             return
         if refusal.reason is types.Reason.TARGET_REFUSED:
             self._limiter.record_overload()
         if not refusal.may_have_run:
             return
-        if self._fitness.record_failure(now - leg.started_at, now):
+        if self._target_health.record_failure(now - leg.started_at, now):
             logs.event("target_unfit", request=leg.forward.request_id)
         if refusal.reason is types.Reason.TARGET_FAILED:
-            self._suspect(leg, now)
+            self._quarantine_request(leg, now)
+
+    def _quarantine_request(self, leg: Leg, now: float) -> None:
+        """Quarantines a request that ran when the target crashed.
 
-    def _suspect(self, leg: Leg, now: float) -> None:
-        """Tells everybody of a request that was there at a crash."""
-        standing = quarantine.QuarantineState.SUSPECTED
+        A request that ran exclusively is the cause, and is blocked.
+        """
+        state = quarantine.QuarantineState.SUSPECTED
         if leg.exclusive:
-            standing = quarantine.QuarantineState.BLOCKED
-        self._suspects.add(leg.fingerprint, standing, now)
+            state = quarantine.QuarantineState.BLOCKED
+        self._quarantine.add(leg.fingerprint, state, now)
         logs.event(
             "request_suspected",
             request=leg.forward.request_id,
             key=leg.forward.key,
             content=leg.fingerprint,
-            standing=standing.value,
+            standing=state.value,
+        )
+        self._report_crash(
+            messages.CrashReport((leg.fingerprint,), leg.exclusive)
         )
-        self._crashed(messages.CrashReport((leg.fingerprint,), leg.exclusive))
 
     def _finish(self, leg: Leg, outcome: verdicts.Result) -> None:
         self._answer(leg, outcome)
@@ -315,11 +354,11 @@
 
     def _answer(self, leg: Leg, outcome: verdicts.Result) -> None:
         self._legs.pop(leg.forward.leg, None)
-        message = self._message(leg.forward, outcome)
-        self._metrics.observe_leg(message.verdict.value)
-        leg.reply(message)
+        reply = self._make_reply(leg.forward, outcome)
+        self._metrics.observe_leg(reply.verdict.value)
+        leg.reply(reply)
 
-    def _message(
+    def _make_reply(
         self, forward: messages.Forward, outcome: verdicts.Result
     ) -> messages.ForwardReply:
         match outcome:
@@ -332,14 +371,16 @@
                     body=answer.body,
                 )
             case result.Failure(verdicts.Refusal() as refusal):
-                route = self._core.slot_owners.find(
+                slot_owner = self._core.slot_owners.find(
                     forward.service, forward.slot
                 )
                 return messages.ForwardReply(
                     forward.leg,
                     refusal.verdict,
                     refusal.reason,
-                    owner=route.owner if route else types.NO_INCARNATION,
-                    fence=route.fence if route else 0,
+                    owner=slot_owner.owner
+                    if slot_owner
+                    else types.NO_INCARNATION,
+                    fence=slot_owner.fence if slot_owner else 0,
                 )
         raise AssertionError(outcome)
--- a/tamarackgap/requests/forwarder.py
+++ b/tamarackgap/requests/forwarder.py
@@ -1,4 +1,8 @@
-"""The entry's side of a request: route it, wait, retry what did not run."""
+"""Forwards callers' requests to the owners of their keys.
+
+A request that an owner refuses is forwarded again after a backoff, unless it
+may have been executed and is not idempotent.
+"""
 
 import functools
 import random
@@ -15,13 +19,13 @@
 from tamarackgap.placement import slotowners, slots
 from tamarackgap.requests import executor, retries
 
-_BACKOFF_S = 0.005
-_BACKOFF_MAX_S = 0.04
-# Time for an answer on its way back when the deadline has come.
+_FIRST_BACKOFF_S = 0.005
+_MAX_BACKOFF_S = 0.04
+# Time after the deadline for a reply that the owner has already sent.
 _DEADLINE_GRACE_S = 0.03
 
-# Refusals after which another try may find an owner that serves.
-_PASSING = frozenset(
+# Reasons that may no longer apply when the request is forwarded again.
+_RETRYABLE = frozenset(
     {
         types.Reason.WRONG_OWNER,
         types.Reason.SLOT_MOVING,
@@ -34,25 +38,28 @@
         types.Reason.TARGET_FAILED,
     }
 )
-# Refusals that were given without a message to another daemon.
+# Reasons for which the request was not sent to another daemon.
 _LOCAL = frozenset({types.Reason.NO_OWNER, types.Reason.PEER_UNREACHABLE})
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """A caller's request, checked.
+    """A valid request from a caller.
 
     Attributes:
-        request_id: Its id.
-        service: The service.
-        key: The key.
+        request_id: Id that the caller chose, or a new one.
+        service: Service of the request.
+        key: Key of the request.
         method: HTTP method.
-        path: Path below the service, with the query's other parts.
-        body: The body.
-        timeout: Seconds until the caller's deadline.
-        idempotent: Whether running it twice does no harm.
-        attempt: 1 where the caller never sent the id before.
-        first_sent_ms: Wall-clock time of the first sending, milliseconds.
-        urgent: False where it can wait.
+        path: Path below the service, with the query except for the key.
+        body: Whole body.
+        timeout: Time from receipt until the caller's deadline, seconds.
+        idempotent: Whether the request may be executed twice.
+        attempt: 1 if the caller has not sent this id before; a higher number
+            if it may have.
+        first_sent_ms: Wall-clock time at which the caller first sent this
+            id, milliseconds since 1970.
+        urgent: Whether the request is served before those that can wait,
+            such as reports.
     """
 
     request_id: str
@@ -72,23 +79,49 @@
 
 
 class PendingRequest:
-    """A caller's request under way."""
+    """A caller's request that has no result yet.
+
+    Attributes:
+        request: The request.
+        slot: Slot of its key.
+        started_at: Time of receipt, monotonic seconds.
+        deadline: The caller's deadline, monotonic seconds.
+        on_done: Callback for the result, or None once there is a result.
+        leg: Id of the leg whose reply is awaited, or "".
+        slot_owner: Owner at the last attempt, or None if none was known.
+        attempts: Number of legs so far.
+        backoff: Mean delay before the next leg, seconds.
+        deadline_timer: Ends the request soon after its deadline.
+        may_have_run: Whether any leg may have been executed. If so, no later
+            refusal may have the verdict "not run".
+        last_refusal: Refusal of the last leg.
+    """
 
     def __init__(
-        self, request: CallerRequest, slot: int, now: float, done: DoneCallback
+        self,
+        request: CallerRequest,
+        slot: int,
+        now: float,
+        on_done: DoneCallback,
     ) -> None:
-        """Creates a flight that began `now`."""
+        """Creates a request without a leg.
+
+        Args:
+            request: The request.
+            slot: Slot of its key.
+            now: Monotonic time, seconds.
+            on_done: Called once with the result.
+        """
         self.request = request
         self.slot = slot
         self.started_at = now
         self.deadline = now + request.timeout
-        self.on_done: DoneCallback | None = done
+        self.on_done: DoneCallback | None = on_done
         self.leg = ""
-        self.route: slotowners.SlotOwner | None = None
+        self.slot_owner: slotowners.SlotOwner | None = None
         self.attempts = 0
-        self.backoff = _BACKOFF_S
+        self.backoff = _FIRST_BACKOFF_S
         self.deadline_timer: scheduler.Timer | None = None
-        # Once a leg may have run, no later refusal may say "not run".
         self.may_have_run = False
         self.last_refusal = verdicts.Refusal(
             types.Verdict.NOT_RUN, types.Reason.NO_OWNER
@@ -96,253 +129,276 @@
 
 
 class Forwarder:
-    """All requests that callers sent to this daemon."""
+    """Handles all requests that this daemon receives from callers.
+
+    The owner of a request's key may be this daemon itself or another one.
+    """
 
     def __init__(
         self,
         core: ownership.Ownership,
         request_executor: executor.Executor,
-        links: transport.PeerTransport,
+        peers: transport.PeerTransport,
         timers: scheduler.Scheduler,
         budget: retries.RetryBudget,
         rng: random.Random,
         counters: metrics.Metrics,
     ) -> None:
-        """Creates an entry without requests.
+        """Creates a forwarder without requests.
 
         Args:
-            core: Knows the routes.
-            request_executor: Serves the slots that this daemon owns itself.
-            links: Links to the other owners.
-            timers: For deadlines and backoff.
-            budget: Bounds the legs that are sent again.
-            rng: Source of leg ids and jitter.
-            counters: Metrics.
+            core: Has the owners of slots and the lease records.
+            request_executor: Executes requests for slots of this daemon.
+            peers: Connections to the other daemons.
+            timers: Timers for deadlines and backoff.
+            budget: Limits the retries of legs that were sent.
+            rng: Source of leg ids and of jitter.
+            counters: Counts results of requests.
         """
         self._core = core
-        self._owner = request_executor
-        self._peers = links
+        self._executor = request_executor
+        self._peers = peers
         self._timers = timers
         self._budget = budget
         self._rng = rng
         self._metrics = counters
-        self._flights: dict[str, PendingRequest] = {}
-        self._open = 0
+        self._pending_by_leg: dict[str, PendingRequest] = {}
+        self._in_flight = 0
 
     @property
     def in_flight(self) -> int:
-        """Number of callers' requests under way."""
-        return self._open
+        """Number of callers' requests without a result."""
+        return self._in_flight
 
     def has_service(self, service: str) -> bool:
         """Returns whether a service exists."""
         return self._core.view.service_record(service) is not None
 
     def submit(
-        self, request: CallerRequest, done: DoneCallback
+        self, request: CallerRequest, on_done: DoneCallback
     ) -> PendingRequest:
-        """Serves a request.
+        """Accepts a request and forwards it.
 
         Args:
             request: A request for a service that exists.
-            done: Called once with the result, perhaps at once.
+            on_done: Called once with the result, possibly before this method
+                returns.
 
         Returns:
-            The flight, for `cancel`.
+            The pending request, as an argument for `cancel`.
         """
         service_record = self._core.view.service_record(request.service)
         slot = slots.slot_of_key(types.Key(request.key), service_record.slots)
-        flight = PendingRequest(request, slot, self._timers.now, done)
-        self._open += 1
+        pending = PendingRequest(request, slot, self._timers.now, on_done)
+        self._in_flight += 1
         self._budget.deposit()
-        flight.deadline_timer = self._timers.after(
+        pending.deadline_timer = self._timers.after(
             request.timeout + _DEADLINE_GRACE_S,
-            lambda: self._deadline(flight),
+            lambda: self._expire(pending),
         )
-        self._try(flight)
-        return flight
+        self._send_leg(pending)
+        return pending
 
-    def cancel(self, flight: PendingRequest) -> None:
-        """Gives a flight up: its caller went away."""
-        if flight.on_done is None:
+    def cancel(self, pending: PendingRequest) -> None:
+        """Cancels a request whose caller has disconnected."""
+        if pending.on_done is None:
             return
-        flight.on_done = _ignore
-        self._cancel_leg(flight)
-        self._finish(flight, self._unfinished(flight))
-
-    def handle_reply(self, outcome: messages.ForwardReply) -> None:
-        """Takes an owner's answer in; one that comes late is dropped."""
-        flight = self._flights.pop(outcome.leg, None)
-        if flight is None:
-            logs.event("late_answer_dropped", leg=outcome.leg)
+        pending.on_done = _ignore
+        self._cancel_leg(pending)
+        self._finish(pending, self._result_without_reply(pending))
+
+    def handle_reply(self, reply: messages.ForwardReply) -> None:
+        """Handles an owner's reply to a leg.
+
+        A reply to a leg that is no longer pending is dropped.
+        """
+        pending = self._pending_by_leg.pop(reply.leg, None)
+        if pending is None:
+            logs.event("late_answer_dropped", leg=reply.leg)
             return
-        flight.leg = ""
-        if outcome.owner:
-            route = slotowners.SlotOwner(outcome.owner, outcome.fence)
+        pending.leg = ""
+        if reply.owner:
+            slot_owner = slotowners.SlotOwner(reply.owner, reply.fence)
             self._core.slot_owners.update(
-                flight.request.service, flight.slot, route
+                pending.request.service, pending.slot, slot_owner
             )
-        if outcome.verdict is types.Verdict.ANSWERED:
+        if reply.verdict is types.Verdict.ANSWERED:
             answer = verdicts.answered(
-                outcome.status, outcome.content_type, outcome.body
+                reply.status, reply.content_type, reply.body
             )
-            self._finish(flight, answer)
+            self._finish(pending, answer)
         else:
-            reason = outcome.reason or types.Reason.NO_ANSWER
-            self._refused(flight, verdicts.Refusal(outcome.verdict, reason))
+            reason = reply.reason or types.Reason.NO_ANSWER
+            self._handle_refusal(
+                pending, verdicts.Refusal(reply.verdict, reason)
+            )
 
     def fail_owner(self, incarnation: str) -> None:
-        """Notes that an owner's lease is over; its answers are not due."""
-        for flight in list(self._flights.values()):
-            if flight.route and flight.route.owner == incarnation:
-                self._flights.pop(flight.leg)
-                flight.leg = ""
-                self._refused(
-                    flight,
+        """Fails all legs at an owner whose lease has ended.
+
+        Their replies are no longer awaited.
+        """
+        for pending in list(self._pending_by_leg.values()):
+            if pending.slot_owner and pending.slot_owner.owner == incarnation:
+                self._pending_by_leg.pop(pending.leg)
+                pending.leg = ""
+                self._handle_refusal(
+                    pending,
                     verdicts.Refusal(
                         types.Verdict.MAY_HAVE_RUN, types.Reason.OWNER_LOST
                     ),
                 )
 
-    def _try(self, flight: PendingRequest) -> None:
-        if flight.on_done is None:
+    def _send_leg(self, pending: PendingRequest) -> None:
+        if pending.on_done is None:
             return
-        route = self._core.slot_owners.find(flight.request.service, flight.slot)
-        flight.route = route
-        if route is None:
-            self._refuse_here(flight, types.Reason.NO_OWNER)
+        slot_owner = self._core.slot_owners.find(
+            pending.request.service, pending.slot
+        )
+        pending.slot_owner = slot_owner
+        if slot_owner is None:
+            self._handle_local_refusal(pending, types.Reason.NO_OWNER)
             return
-        flight.attempts += 1
-        forward = self._forward(flight, route)
-        flight.leg = forward.leg
-        self._flights[forward.leg] = flight
-        if route.owner == self._core.incarnation:
-            self._owner.submit(forward, self.handle_reply)
+        pending.attempts += 1
+        forward = self._make_forward(pending, slot_owner)
+        pending.leg = forward.leg
+        self._pending_by_leg[forward.leg] = pending
+        if slot_owner.owner == self._core.incarnation:
+            self._executor.submit(forward, self.handle_reply)
             return
-        record = self._core.view.lease(route.owner)
+        record = self._core.view.lease(slot_owner.owner)
         sent = record is not None and self._peers.send(
             self._core.incarnation, record.peer_address, forward
         )
         if not sent:
-            self._flights.pop(forward.leg, None)
-            flight.leg = ""
-            self._refuse_here(flight, types.Reason.PEER_UNREACHABLE)
+            self._pending_by_leg.pop(forward.leg, None)
+            pending.leg = ""
+            self._handle_local_refusal(pending, types.Reason.PEER_UNREACHABLE)
 
-    def _forward(
-        self, flight: PendingRequest, route: slotowners.SlotOwner
+    def _make_forward(
+        self, pending: PendingRequest, slot_owner: slotowners.SlotOwner
     ) -> messages.Forward:
-        request = flight.request
+        request = pending.request
         return messages.Forward(
-            owner=route.owner,
+            owner=slot_owner.owner,
             leg=f"{self._rng.getrandbits(64):016x}",
             request_id=request.request_id,
             service=request.service,
             key=request.key,
-            slot=flight.slot,
+            slot=pending.slot,
             method=request.method,
             path=request.path,
             body=request.body,
-            remaining=flight.deadline - self._timers.now,
+            remaining=pending.deadline - self._timers.now,
             idempotent=request.idempotent,
-            # A refused leg did not run, so this is still the same attempt.
+            # Earlier legs of a non-idempotent request were not executed, so
+            # this is still the caller's attempt.
             attempt=request.attempt,
             first_sent_ms=request.first_sent_ms,
             urgent=request.urgent,
         )
 
-    def _refuse_here(
-        self, flight: PendingRequest, reason: types.Reason
+    def _handle_local_refusal(
+        self, pending: PendingRequest, reason: types.Reason
     ) -> None:
-        self._refused(flight, verdicts.Refusal(types.Verdict.NOT_RUN, reason))
+        self._handle_refusal(
+            pending, verdicts.Refusal(types.Verdict.NOT_RUN, reason)
+        )
 
-    def _refused(
-        self, flight: PendingRequest, refusal: verdicts.Refusal
+    def _handle_refusal(
+        self, pending: PendingRequest, refusal: verdicts.Refusal
     ) -> None:
         if refusal.reason is types.Reason.DEADLINE_PASSED:
-            # What took up the time says more than that it is up.
-            reason = flight.last_refusal.reason if flight.attempts > 1 else None
+            # The previous refusal tells why the time ran out.
+            reason = (
+                pending.last_refusal.reason if pending.attempts > 1 else None
+            )
             refusal = verdicts.Refusal(
                 refusal.verdict, reason or refusal.reason
             )
-        flight.may_have_run = flight.may_have_run or refusal.may_have_run
-        if flight.may_have_run:
+        pending.may_have_run = pending.may_have_run or refusal.may_have_run
+        if pending.may_have_run:
             refusal = verdicts.Refusal(
                 types.Verdict.MAY_HAVE_RUN, refusal.reason
             )
-        flight.last_refusal = refusal
-        wait = flight.backoff * (0.5 + self._rng.random())
-        late = self._timers.now + wait >= flight.deadline
-        if late or not self._may_retry(flight, refusal):
-            self._finish(flight, result.Failure(refusal))
+        pending.last_refusal = refusal
+        delay = pending.backoff * (0.5 + self._rng.random())
+        late = self._timers.now + delay >= pending.deadline
+        if late or not self._may_retry(pending, refusal):
+            self._finish(pending, result.Failure(refusal))
             return
-        flight.backoff = min(flight.backoff * 2, _BACKOFF_MAX_S)
-        self._timers.after(wait, functools.partial(self._try, flight))
+        pending.backoff = min(pending.backoff * 2, _MAX_BACKOFF_S)
+        self._timers.after(delay, functools.partial(self._send_leg, pending))
 
     def _may_retry(
-        self, flight: PendingRequest, refusal: verdicts.Refusal
+        self, pending: PendingRequest, refusal: verdicts.Refusal
     ) -> bool:
-        if refusal.reason not in _PASSING:
+        if refusal.reason not in _RETRYABLE:
             return False
-        if refusal.may_have_run and not flight.request.idempotent:
+        if refusal.may_have_run and not pending.request.idempotent:
             return False
-        # Waiting for an owner costs nobody anything.
+        # A leg that was not sent added no load, so its retry needs no token.
         return refusal.reason in _LOCAL or self._budget.withdraw()
 
-    def _deadline(self, flight: PendingRequest) -> None:
-        if flight.on_done is None:
+    def _expire(self, pending: PendingRequest) -> None:
+        if pending.on_done is None:
             return
-        self._cancel_leg(flight)
-        self._finish(flight, self._unfinished(flight))
+        self._cancel_leg(pending)
+        self._finish(pending, self._result_without_reply(pending))
 
-    def _unfinished(self, flight: PendingRequest) -> verdicts.Result:
-        if flight.leg:
+    def _result_without_reply(self, pending: PendingRequest) -> verdicts.Result:
+        if pending.leg:
             return verdicts.may_have_run(types.Reason.NO_ANSWER)
-        return result.Failure(flight.last_refusal)
+        return result.Failure(pending.last_refusal)
 
-    def _cancel_leg(self, flight: PendingRequest) -> None:
-        if not flight.leg or flight.route is None:
+    def _cancel_leg(self, pending: PendingRequest) -> None:
+        if not pending.leg or pending.slot_owner is None:
             return
-        owner = flight.route.owner
+        owner = pending.slot_owner.owner
         if owner == self._core.incarnation:
-            self._owner.cancel(flight.leg)
+            self._executor.cancel(pending.leg)
             return
         record = self._core.view.lease(owner)
         if record is not None:
             self._peers.send(
                 self._core.incarnation,
                 record.peer_address,
-                messages.Cancel(flight.leg),
+                messages.Cancel(pending.leg),
             )
 
-    def _finish(self, flight: PendingRequest, outcome: verdicts.Result) -> None:
-        done = flight.on_done
-        if done is None:
+    def _finish(
+        self, pending: PendingRequest, outcome: verdicts.Result
+    ) -> None:
+        on_done = pending.on_done
+        if on_done is None:
             return
-        flight.on_done = None
-        flight.deadline_timer.cancel()
-        if flight.leg:
-            self._flights.pop(flight.leg, None)
-        self._open -= 1
-        self._record(flight, outcome)
-        done(outcome)
-
-    def _record(self, flight: PendingRequest, outcome: verdicts.Result) -> None:
+        pending.on_done = None
+        pending.deadline_timer.cancel()
+        if pending.leg:
+            self._pending_by_leg.pop(pending.leg, None)
+        self._in_flight -= 1
+        self._report(pending, outcome)
+        on_done(outcome)
+
+    def _report(
+        self, pending: PendingRequest, outcome: verdicts.Result
+    ) -> None:
         refusal = outcome.swap().value_or(None)
         verdict = refusal.verdict if refusal else types.Verdict.ANSWERED
         reason = refusal.reason.value if refusal else ""
-        elapsed = self._timers.now - flight.started_at
+        elapsed = self._timers.now - pending.started_at
         self._metrics.observe_request(verdict.value, reason, elapsed)
-        route = flight.route
+        slot_owner = pending.slot_owner
         logs.event(
             "request",
-            request=flight.request.request_id,
-            service=flight.request.service,
-            key=flight.request.key,
-            slot=flight.slot,
-            owner=route.owner if route else "",
-            fence=route.fence if route else 0,
+            request=pending.request.request_id,
+            service=pending.request.service,
+            key=pending.request.key,
+            slot=pending.slot,
+            owner=slot_owner.owner if slot_owner else "",
+            fence=slot_owner.fence if slot_owner else 0,
             route_version=self._core.slot_owners.version,
-            attempts=flight.attempts,
+            attempts=pending.attempts,
             verdict=verdict.value,
             reason=reason,
             ms=round(elapsed * 1000, 2),
@@ -350,7 +406,11 @@
 
 
 def new_request_id(now_ms: int) -> str:
-    """Returns a fresh id, which carries the time of the first sending."""
+    """Returns a new request id that starts with the given time.
+
+    Args:
+        now_ms: Wall-clock time, milliseconds since 1970.
+    """
     return f"{now_ms}-{uuid.uuid4().hex[:16]}"
 
 
--- a/tamarackgap/requests/granting.py
+++ b/tamarackgap/requests/granting.py
@@ -1,16 +1,16 @@
-"""Tells a target that checks grants which slots it may serve until when."""
+"""Sends grants to a target that checks them."""
 
 from tamarackgap.network import scheduler
 from tamarackgap.ownership import ownership
 from tamarackgap.placement import slots
 from tamarackgap.requests import targetclient
 
-# A grant is renewed when the lease has grown by this share of its length.
-_STEP_SHARE = 0.2
+# A grant is renewed when the lease's end has moved by this share of the lease.
+_RENEWAL_SHARE = 0.2
 
 
 class Granter:
-    """Keeps the target's grant up with lease and slots."""
+    """Keeps the target's grant in step with the lease and the owned slots."""
 
     def __init__(
         self,
@@ -19,37 +19,43 @@
         lease: float,
         clock: scheduler.Clock,
     ) -> None:
-        """Creates a granter that has granted nothing.
+        """Creates a granter that has sent no grant.
 
         Args:
-            core: Holds the lease and the slots.
-            target: The target.
+            core: Has the lease and the owned slots.
+            target: Client of the local target.
             lease: Length of a lease, seconds.
             clock: The VM's monotonic clock, seconds.
         """
         self._core = core
         self._target = target
-        self._step = lease * _STEP_SHARE
+        self._renewal_step = lease * _RENEWAL_SHARE
         self._clock = clock
-        self._until = 0.0
-        self._version = 0
+        self._granted_until = 0.0
+        self._granted_version = 0
 
     def renew(self) -> None:
-        """Sends a grant, if lease or slots have changed enough."""
+        """Sends a grant if the last one no longer fits.
+
+        That is so once the slots have changed or the lease's end has moved
+        far enough. Nothing is sent after the lease has ended.
+        """
         if not self._target.checks_grants:
             return
         until = self._core.lease_until()
         version = self._core.slots_version
-        grown = until - self._until >= self._step
-        if until <= self._clock() or not (grown or version != self._version):
+        is_extended = until - self._granted_until >= self._renewal_step
+        if until <= self._clock() or not (
+            is_extended or version != self._granted_version
+        ):
             return
-        holdings = {
-            slot: slots.SlotAssignment(held.fence)
-            for slot, held in self._core.owned.items()
+        assignments = {
+            slot: slots.SlotAssignment(owned_slot.fence)
+            for slot, owned_slot in self._core.owned.items()
         }
         grant = targetclient.Grant(
-            self._core.incarnation, until, slots.compress(holdings)
+            self._core.incarnation, until, slots.compress(assignments)
         )
         if self._target.send_grant(grant):
-            self._until = until
-            self._version = version
+            self._granted_until = until
+            self._granted_version = version
