--- a/tamarackgap/requests/dedup.py
+++ b/tamarackgap/requests/dedup.py
@@ -1,4 +1,4 @@
-"""Remembers the ids of non-idempotent requests, so that none runs twice."""
+"""Keeps the results of non-idempotent requests, so that none runs twice."""
 
 import collections
 import enum
@@ -9,30 +9,39 @@
 
 
 class RequestState(enum.Enum):
-    """What is known of a request's id."""
+    """State of a request, by its id."""
 
-    # It certainly has not run here or anywhere else.
+    # It was certainly not executed, here or anywhere else.
     FRESH = "fresh"
     IN_PROGRESS = "in-progress"
     FINISHED = "finished"
-    # It may have run under an earlier owner, or was forgotten here.
+    # It may have been executed under an earlier owner, or its entry here was
+    # dropped.
     UNKNOWN = "unknown"
 
 
 class _Entry(msgspec.Struct):
+    """Holds one request.
+
+    Attributes:
+        begun_ms: Wall-clock time at which it was started, milliseconds since
+            1970.
+        outcome: Its result, or None while it is in progress.
+    """
+
     begun_ms: int
     outcome: verdicts.Result | None = None
 
 
 class DedupCache:
-    """Ids that this owner has begun to run, for a window of time."""
+    """Holds the requests that this owner has started, for a window of time."""
 
     def __init__(self, window_ms: int, limit: int, skew_ms: int) -> None:
-        """Creates an empty memory.
+        """Creates an empty cache.
 
         Args:
-            window_ms: How long an id is remembered, milliseconds.
-            limit: Most ids remembered.
+            window_ms: Time for which a request is kept, milliseconds.
+            limit: Most requests kept.
             skew_ms: Largest difference between wall clocks, milliseconds.
         """
         self._window_ms = window_ms
@@ -41,68 +50,78 @@
         self._entries: collections.OrderedDict[str, _Entry] = (
             collections.OrderedDict()
         )
-        # Ids begun before this may have been forgotten.
-        self._floor_ms = 0
+        # Requests that were started up to this time may have been dropped.
+        self._dropped_until_ms = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def lookup(
         self,
-        request: str,
+        request_id: str,
         attempt: int,
         first_sent_ms: int,
         owned_since_ms: int,
         now_ms: int,
     ) -> RequestState:
-        """Returns what is known of an id.
+        """Returns the state of a request.
+
+        A request without an entry is fresh if the caller has not sent it
+        before, or first sent it at a time for which this cache has every
+        request. All times are wall-clock milliseconds since 1970.
 
         Args:
-            request: The id.
-            attempt: 1 where the caller never sent the id before.
-            first_sent_ms: Caller's wall-clock time of the first sending.
-            owned_since_ms: Wall-clock time when this owner took the slot.
-            now_ms: Wall-clock time.
+            request_id: Id of the request.
+            attempt: 1 if the caller has not sent the id before.
+            first_sent_ms: Time at which the caller first sent the id.
+            owned_since_ms: Time since which this owner has owned the slot.
+            now_ms: Current time.
         """
-        entry = self._entries.get(request)
+        entry = self._entries.get(request_id)
         if entry is not None:
-            done = entry.outcome is not None
-            return RequestState.FINISHED if done else RequestState.IN_PROGRESS
+            finished = entry.outcome is not None
+            return (
+                RequestState.FINISHED if finished else RequestState.IN_PROGRESS
+            )
         if attempt == 1:
             return RequestState.FRESH
-        known_since = max(
-            owned_since_ms, self._floor_ms, now_ms - self._window_ms
+        complete_since = max(
+            owned_since_ms, self._dropped_until_ms, now_ms - self._window_ms
         )
-        if first_sent_ms < known_since + self._skew_ms:
+        if first_sent_ms < complete_since + self._skew_ms:
             return RequestState.UNKNOWN
         return RequestState.FRESH
 
-    def result_of(self, request: str) -> verdicts.Result | None:
-        """Returns the remembered result of a finished id, or None."""
-        entry = self._entries.get(request)
+    def result_of(self, request_id: str) -> verdicts.Result | None:
+        """Returns the result of a finished request, or None."""
+        entry = self._entries.get(request_id)
         return entry.outcome if entry is not None else None
 
-    def record_start(self, request: str, now_ms: int) -> None:
-        """Notes that the request is about to be handed over."""
-        self._forget(now_ms)
-        self._entries[request] = _Entry(now_ms)
+    def record_start(self, request_id: str, now_ms: int) -> None:
+        """Records that a request is about to be sent to the target."""
+        self._drop_old(now_ms)
+        self._entries[request_id] = _Entry(now_ms)
 
-    def record_result(self, request: str, outcome: verdicts.Result) -> None:
-        """Notes the result; one that did not run may be sent again."""
-        if request not in self._entries:
+    def record_result(self, request_id: str, outcome: verdicts.Result) -> None:
+        """Records the result of a request.
+
+        The entry is dropped if the request was not executed, so that it may
+        be sent again.
+        """
+        if request_id not in self._entries:
             return
         refusal = outcome.swap().value_or(None)
         if refusal is not None and not refusal.may_have_run:
-            del self._entries[request]
+            del self._entries[request_id]
         else:
-            self._entries[request].outcome = outcome
+            self._entries[request_id].outcome = outcome
 
-    def _forget(self, now_ms: int) -> None:
-        oldest = now_ms - self._window_ms
+    def _drop_old(self, now_ms: int) -> None:
+        oldest_ms = now_ms - self._window_ms
         while self._entries:
-            request, entry = next(iter(self._entries.items()))
+            request_id, entry = next(iter(self._entries.items()))
             full = len(self._entries) >= self._limit
-            if entry.begun_ms >= oldest and not full:
+            if entry.begun_ms >= oldest_ms and not full:
                 return
-            self._floor_ms = max(self._floor_ms, entry.begun_ms)
-            del self._entries[request]
+            self._dropped_until_ms = max(self._dropped_until_ms, entry.begun_ms)
+            del self._entries[request_id]
--- a/tamarackgap/requests/health.py
+++ b/tamarackgap/requests/health.py
@@ -1,53 +1,56 @@
-"""Whether the target serves, judged by what the daemon itself sees."""
+"""Checks the health of the target by the results of its requests."""
 
-_FAILURES_IN_A_ROW = 5
-_FIRST_REST_S = 2.0
-_LONGEST_REST_S = 60.0
-# A run that was given less time says nothing of the target.
+_FAILURE_THRESHOLD = 5
+_FIRST_UNHEALTHY_S = 2.0
+_MAX_UNHEALTHY_S = 60.0
+# A shorter run without an answer is not counted: its deadline may have left
+# the target too little time.
 MIN_COUNTED_RUN_S = 0.3
 
 
 class PassiveHealthCheck:
-    """Counts runs without an answer, and rests a target that gives none.
+    """Counts consecutive requests without an answer.
 
-    Health reports may lie both ways, so they do not count here.
+    After too many, the target counts as unhealthy for a period, which doubles
+    each time until the target answers. What the target reports of its own
+    health is not used, as it may be wrong either way.
     """
 
     def __init__(self) -> None:
         self._failures = 0
-        self._rest = _FIRST_REST_S
-        self._rests_until = 0.0
+        self._next_period = _FIRST_UNHEALTHY_S
+        self._unhealthy_until = 0.0
 
     @property
     def failures(self) -> int:
-        """Runs in a row without an answer."""
+        """Number of consecutive requests without an answer."""
         return self._failures
 
     def is_healthy(self, now: float) -> bool:
-        """Returns whether the target should own slots."""
-        return now >= self._rests_until
+        """Returns whether this daemon should own slots for the target."""
+        return now >= self._unhealthy_until
 
     def record_answer(self) -> None:
-        """Notes an answer."""
+        """Records an answer."""
         self._failures = 0
-        self._rest = _FIRST_REST_S
+        self._next_period = _FIRST_UNHEALTHY_S
 
-    def record_failure(self, given: float, now: float) -> bool:
-        """Notes a run without an answer.
+    def record_failure(self, elapsed: float, now: float) -> bool:
+        """Records a request without an answer.
 
         Args:
-            given: Time that the run was given, seconds.
-            now: Monotonic time.
+            elapsed: Time since it was sent to the target, seconds.
+            now: Monotonic time, seconds.
 
         Returns:
-            Whether the target was found unfit just now.
+            Whether this made the target unhealthy.
         """
-        if given < MIN_COUNTED_RUN_S:
+        if elapsed < MIN_COUNTED_RUN_S:
             return False
         self._failures += 1
-        if self._failures < _FAILURES_IN_A_ROW or not self.is_healthy(now):
+        if self._failures < _FAILURE_THRESHOLD or not self.is_healthy(now):
             return False
-        self._rests_until = now + self._rest
-        self._rest = min(self._rest * 2, _LONGEST_REST_S)
+        self._unhealthy_until = now + self._next_period
+        self._next_period = min(self._next_period * 2, _MAX_UNHEALTHY_S)
         self._failures = 0
         return True
--- a/tamarackgap/requests/limiter.py
+++ b/tamarackgap/requests/limiter.py
@@ -1,26 +1,28 @@
-"""Keeps a target within its slots, with a bounded queue before it."""
+"""Limits the requests that a target executes at once and queues the others."""
 
 import collections
 from collections.abc import Callable
 
 import msgspec
 
-# A target refuses or slows down: less at once. It copes: slowly more.
-_DECREASE = 0.7
-_LEAST_SHARE = 0.1
-_RAMP_S = 5.0
-_RAMP_START = 0.25
+# Factor on the limit each time the target refuses a request.
+_DECREASE_FACTOR = 0.7
+# Lower bound of the limit, as a share of the limit that was set.
+_MIN_SHARE = 0.1
+# A new target gets a share of the limit, which rises to 1 in this time.
+_WARM_UP_S = 5.0
+_WARM_UP_FIRST_SHARE = 0.25
 
 
 class QueuedRequest(msgspec.Struct, frozen=True):
-    """A request that waits for one of the target's slots.
+    """A request that waits to be sent to the target.
 
     Attributes:
-        deadline: When it is of no more use, seconds.
-        start: Called when its turn comes.
-        shed: Called if its turn can't come in time.
-        urgent: Whether it goes before others.
-        exclusive: Whether nothing else may run beside it.
+        deadline: Time at which it is shed, monotonic seconds.
+        start: Called when it may be sent to the target.
+        shed: Called if it is removed from the queue instead.
+        urgent: Whether it goes before those that are not urgent.
+        exclusive: Whether the target may execute nothing else meanwhile.
     """
 
     deadline: float
@@ -31,127 +33,151 @@
 
 
 class Limiter:
-    """Requests in progress at one target, and those that wait.
+    """Counts requests in progress at one target, and queues those that wait.
 
-    Urgent requests go first, and take the place of others that wait. The
-    limit is the target's own, less while it is cold or refuses work.
+    Exclusive requests go first, then urgent ones. If the queue is full, an
+    urgent or exclusive request takes the place of one that is neither. The
+    limit is the one that was set, or less while the target warms up or after
+    it has refused requests.
     """
 
     def __init__(self) -> None:
         self._in_progress = 0
-        self._most = 0
+        self._max_in_progress = 0
         self._queue_limit = 0
         self._share = 1.0
         self._warm_at = 0.0
-        self._is_alone = False
-        self._alone: collections.deque[QueuedRequest] = collections.deque()
+        self._runs_exclusive = False
+        self._exclusive: collections.deque[QueuedRequest] = collections.deque()
         self._urgent: collections.deque[QueuedRequest] = collections.deque()
-        self._patient: collections.deque[QueuedRequest] = collections.deque()
+        self._not_urgent: collections.deque[QueuedRequest] = collections.deque()
 
     @property
     def in_progress(self) -> int:
-        """Number of requests handed over and not finished."""
+        """Number of requests started and not released."""
         return self._in_progress
 
     @property
     def queued(self) -> int:
-        """Number of requests that wait."""
+        """Number of requests that wait to be started."""
         return sum(len(queue) for queue in self._queues)
 
     @property
     def _queues(self) -> tuple[collections.deque[QueuedRequest], ...]:
-        return (self._alone, self._urgent, self._patient)
+        return (self._exclusive, self._urgent, self._not_urgent)
 
     def limit(self, now: float) -> int:
-        """Returns the most requests in progress."""
-        if not self._most:
+        """Returns how many requests may be in progress.
+
+        Args:
+            now: Monotonic time, seconds.
+        """
+        if not self._max_in_progress:
             return 0
         share = self._share
         if now < self._warm_at:
-            cold = (self._warm_at - now) / _RAMP_S
-            share = min(share, 1 - (1 - _RAMP_START) * cold)
-        return max(1, int(self._most * share))
-
-    def set_limits(self, most: int, queue_limit: int, now: float) -> None:
-        """Sets the target's own limit, and the most requests that wait.
-
-        A target that was not there before starts cold.
+            time_left = (self._warm_at - now) / _WARM_UP_S
+            share = min(share, 1 - (1 - _WARM_UP_FIRST_SHARE) * time_left)
+        return max(1, int(self._max_in_progress * share))
+
+    def set_limits(
+        self, max_in_progress: int, queue_limit: int, now: float
+    ) -> None:
+        """Sets the limits.
+
+        A target that was absent before has to warm up.
+
+        Args:
+            max_in_progress: Most requests in progress; 0 if the target is
+                absent.
+            queue_limit: Most requests that may wait.
+            now: Monotonic time, seconds.
         """
-        if most and not self._most:
-            self._warm_at = now + _RAMP_S
+        if max_in_progress and not self._max_in_progress:
+            self._warm_at = now + _WARM_UP_S
             self._share = 1.0
-        self._most = most
+        self._max_in_progress = max_in_progress
         self._queue_limit = queue_limit
 
     def record_overload(self) -> None:
-        """Notes that the target had too much to do."""
-        self._share = max(_LEAST_SHARE, self._share * _DECREASE)
+        """Lowers the limit, since the target has refused a request."""
+        self._share = max(_MIN_SHARE, self._share * _DECREASE_FACTOR)
 
     def record_answer(self) -> None:
-        """Notes that the target coped."""
-        if self._most:
-            self._share = min(1.0, self._share + 1 / (self._most * 10))
+        """Raises the limit slowly, since the target has answered."""
+        if self._max_in_progress:
+            self._share = min(
+                1.0, self._share + 1 / (self._max_in_progress * 10)
+            )
 
-    def admit(self, waiting: QueuedRequest, now: float) -> bool:
-        """Starts a request, queues it, or returns False for a full queue."""
+    def admit(self, request: QueuedRequest, now: float) -> bool:
+        """Starts or queues a request.
+
+        Args:
+            request: The request.
+            now: Monotonic time, seconds.
+
+        Returns:
+            False if the queue is full.
+        """
         self._shed_late(now)
         full = self.queued >= self._queue_limit
-        must_wait = self.queued or not self._may_start(waiting, now)
-        if must_wait and full and not self._make_room(waiting):
+        must_wait = self.queued or not self._may_start(request, now)
+        if must_wait and full and not self._shed_one_for(request):
             return False
-        self._queue_of(waiting).append(waiting)
-        self._pump(now)
+        self._queue_of(request).append(request)
+        self._start_allowed(now)
         return True
 
     def release(self, now: float) -> None:
-        """Ends one request, and starts those that wait."""
+        """Ends a request in progress, and starts queued ones."""
         self._in_progress -= 1
-        self._is_alone = False
+        self._runs_exclusive = False
         self._shed_late(now)
-        self._pump(now)
+        self._start_allowed(now)
 
     def start_queued(self, now: float) -> None:
-        """Starts waiting requests while slots are free."""
+        """Starts queued requests up to the limit."""
         self._shed_late(now)
-        self._pump(now)
+        self._start_allowed(now)
 
     def shed_all(self) -> None:
-        """Sheds all that wait."""
+        """Sheds all queued requests."""
         for queue in self._queues:
             while queue:
                 queue.popleft().shed()
 
     def _queue_of(
-        self, waiting: QueuedRequest
+        self, request: QueuedRequest
     ) -> collections.deque[QueuedRequest]:
-        if waiting.exclusive:
-            return self._alone
-        return self._urgent if waiting.urgent else self._patient
+        if request.exclusive:
+            return self._exclusive
+        return self._urgent if request.urgent else self._not_urgent
 
-    def _may_start(self, waiting: QueuedRequest, now: float) -> bool:
-        if self._is_alone or self._in_progress >= self.limit(now):
+    def _may_start(self, request: QueuedRequest, now: float) -> bool:
+        if self._runs_exclusive or self._in_progress >= self.limit(now):
             return False
-        return not waiting.exclusive or not self._in_progress
+        return not request.exclusive or not self._in_progress
 
-    def _pump(self, now: float) -> None:
+    def _start_allowed(self, now: float) -> None:
         while queue := next((q for q in self._queues if q), None):
-            # One that must run alone holds up the rest until it can.
+            # An exclusive request blocks all others until it has started.
             if not self._may_start(queue[0], now):
                 return
-            waiting = queue.popleft()
+            request = queue.popleft()
             self._in_progress += 1
-            self._is_alone = waiting.exclusive
-            waiting.start()
+            self._runs_exclusive = request.exclusive
+            request.start()
 
-    def _make_room(self, waiting: QueuedRequest) -> bool:
-        if not (waiting.urgent or waiting.exclusive) or not self._patient:
+    def _shed_one_for(self, request: QueuedRequest) -> bool:
+        if not (request.urgent or request.exclusive) or not self._not_urgent:
             return False
-        self._patient.pop().shed()
+        self._not_urgent.pop().shed()
         return True
 
     def _shed_late(self, now: float) -> None:
         for queue in self._queues:
-            late = [waiting for waiting in queue if waiting.deadline <= now]
-            for waiting in late:
-                queue.remove(waiting)
-                waiting.shed()
+            late = [request for request in queue if request.deadline <= now]
+            for request in late:
+                queue.remove(request)
+                request.shed()
--- a/tamarackgap/requests/quarantine.py
+++ b/tamarackgap/requests/quarantine.py
@@ -1,4 +1,8 @@
-"""Requests that were at a target when it crashed, known by their content."""
+"""Quarantines requests that a target was executing when it crashed.
+
+A caller may send such a request again under another id, so it is identified
+by a fingerprint of its content.
+"""
 
 import collections
 import enum
@@ -11,33 +15,46 @@
 
 
 class QuarantineState(enum.Enum):
-    """How a request's content is to be treated."""
+    """State of a fingerprint, which says how its requests are executed."""
 
     CLEAR = "clear"
-    # It was there when a target crashed: it runs again only on its own.
+    # A target crashed while it executed such a request, perhaps among others.
+    # The next one is executed exclusively.
     SUSPECTED = "suspected"
-    # It crashed a target on its own: it does not run again.
+    # A target crashed while it executed only such a request. The next one is
+    # refused.
     BLOCKED = "convicted"
 
 
 class _Entry(msgspec.Struct):
+    """Holds one fingerprint.
+
+    Attributes:
+        standing: Its state.
+        until: Time at which it becomes clear again, monotonic seconds.
+    """
+
     standing: QuarantineState
     until: float
 
 
 def digest(parts: Iterable[str], body: bytes) -> str:
-    """Returns a hash of parts and a body that tells where each part ends."""
-    found = xxhash.xxh3_128()
+    """Returns a hash of some texts and a body.
+
+    The length of each text is hashed too, so that the same characters in
+    another division give another hash.
+    """
+    hasher = xxhash.xxh3_128()
     for part in parts:
         data = part.encode("utf-8", "surrogateescape")
-        found.update(len(data).to_bytes(4, "big"))
-        found.update(data)
-    found.update(body)
-    return found.hexdigest()
+        hasher.update(len(data).to_bytes(4, "big"))
+        hasher.update(data)
+    hasher.update(body)
+    return hasher.hexdigest()
 
 
 def fingerprint_of(forward: messages.Forward) -> str:
-    """Returns a hash of what a request asks for, whatever its id."""
+    """Returns a hash of what a request asks for, without its id."""
     return digest(
         (forward.service, forward.method, forward.path, forward.key),
         forward.body,
@@ -45,16 +62,16 @@
 
 
 class Quarantine:
-    """Contents that are not clear, for a time, and at most so many."""
+    """Holds the fingerprints that are suspected or blocked."""
 
     def __init__(self, duration: float, limit: int) -> None:
-        """Creates an empty set.
+        """Creates an empty quarantine.
 
         Args:
-            duration: How long a standing lasts, seconds.
-            limit: Most contents kept; the oldest go first.
+            duration: Time for which a fingerprint is kept, seconds.
+            limit: Most fingerprints kept; the oldest are dropped first.
         """
-        self._kept = duration
+        self._duration = duration
         self._limit = limit
         self._entries: collections.OrderedDict[str, _Entry] = (
             collections.OrderedDict()
@@ -63,23 +80,36 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def state(self, content: str, now: float) -> QuarantineState:
-        """Returns how a content is to be treated."""
-        entry = self._entries.get(content)
+    def state(self, fingerprint: str, now: float) -> QuarantineState:
+        """Returns the state of a fingerprint.
+
+        Args:
+            fingerprint: The fingerprint.
+            now: Monotonic time, seconds.
+        """
+        entry = self._entries.get(fingerprint)
         if entry is None or entry.until <= now:
             return QuarantineState.CLEAR
         return entry.standing
 
-    def add(self, content: str, standing: QuarantineState, now: float) -> None:
-        """Takes a standing in; a conviction is never eased."""
-        known = self.state(content, now)
-        if known is QuarantineState.BLOCKED:
-            standing = known
-        self._entries[content] = _Entry(standing, now + self._kept)
-        self._entries.move_to_end(content)
+    def add(self, fingerprint: str, state: QuarantineState, now: float) -> None:
+        """Adds a fingerprint, or renews it.
+
+        A blocked fingerprint stays blocked.
+
+        Args:
+            fingerprint: The fingerprint.
+            state: Its new state.
+            now: Monotonic time, seconds.
+        """
+        current = self.state(fingerprint, now)
+        if current is QuarantineState.BLOCKED:
+            state = current
+        self._entries[fingerprint] = _Entry(state, now + self._duration)
+        self._entries.move_to_end(fingerprint)
         while len(self._entries) > self._limit:
             self._entries.popitem(last=False)
 
-    def remove(self, content: str) -> None:
-        """Forgets a content: it ran on its own and did no harm."""
-        self._entries.pop(content, None)
+    def remove(self, fingerprint: str) -> None:
+        """Removes a fingerprint whose request was answered when run alone."""
+        self._entries.pop(fingerprint, None)
--- a/tamarackgap/requests/retries.py
+++ b/tamarackgap/requests/retries.py
@@ -1,15 +1,15 @@
-"""Bounds how much load retries may add."""
+"""Limits the load that retries may add."""
 
 
 class RetryBudget:
-    """Tokens that requests bring in and retries use up."""
+    """Holds tokens, which requests add and retries spend."""
 
     def __init__(self, ratio: float, burst: float) -> None:
         """Creates a full budget.
 
         Args:
-            ratio: Retries allowed for each request.
-            burst: Most tokens saved.
+            ratio: Tokens that each request adds.
+            burst: Most tokens held.
         """
         self._ratio = ratio
         self._burst = burst
@@ -17,20 +17,20 @@
 
     @property
     def tokens(self) -> float:
-        """Retries that are allowed now."""
+        """Number of retries allowed at present."""
         return self._tokens
 
     def resize(self, burst: float) -> None:
-        """Sets how many tokens are saved at most."""
+        """Sets how many tokens are held at most."""
         self._burst = burst
         self._tokens = min(self._tokens, burst)
 
     def deposit(self) -> None:
-        """Notes a request."""
+        """Adds the tokens of one request."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def withdraw(self) -> bool:
-        """Takes one retry; returns False if none is allowed."""
+        """Spends a token on a retry, or returns False if there is none."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -38,10 +38,11 @@
 
 
 class ServiceRetryBudgets:
-    """One daemon's part of a budget that all daemons share.
+    """Holds this daemon's part of the retry budget of each service.
 
-    Each spends from its own requests and its own part of the fixed amount,
-    so the sum holds in any window without a word between them.
+    In any window, all daemons together may retry a share of the requests plus
+    a fixed number. Each daemon counts only its own requests and its own part
+    of the fixed number, so that the sum holds without messages.
     """
 
     def __init__(self, ratio: float, extra: float) -> None:
@@ -49,22 +50,22 @@
 
         Args:
             ratio: Retries allowed for each request of a service.
-            extra: Retries allowed besides, for all daemons together.
+            extra: Fixed number of retries, for all daemons together.
         """
-        # A window may begin with saved tokens and end on new ones.
+        # Halved, since a window may use up saved tokens as well as new ones.
         self._ratio = ratio / 2
         self._extra = extra / 2
         self._burst = 1.0
         self._budgets: dict[str, RetryBudget] = {}
 
     def resize(self, ratio: float, extra: float) -> None:
-        """Sets both amounts; budgets begin anew with the next request."""
+        """Sets both amounts, and starts all budgets afresh."""
         self._ratio = ratio / 2
         self._extra = extra / 2
         self._budgets.clear()
 
     def set_daemon_count(self, daemons: int) -> None:
-        """Sets among how many daemons the fixed amount is divided."""
+        """Sets the number of daemons that share the fixed number."""
         self._burst = max(1.0, self._extra / max(1, daemons))
         for budget in self._budgets.values():
             budget.resize(self._burst)
