--- a/tamarackgap/requests/__init__.py
+++ b/tamarackgap/requests/__init__.py
@@ -1,1 +1,1 @@
-"""A request's way through the daemon of the product's own interface."""
+"""Handles requests that come through the product's own HTTP interface."""
--- a/tamarackgap/requests/pages.py
+++ b/tamarackgap/requests/pages.py
@@ -1,4 +1,4 @@
-"""Operators' pages: what a daemon knows and does, as JSON."""
+"""Builds the pages for operators, as JSON."""
 
 import msgspec
 
@@ -10,28 +10,29 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What a daemon says of itself.
+    """Status of a daemon.
 
     Attributes:
-        daemon: Its name.
-        service: Its service.
-        data_centre: Where it stands.
-        incarnation: This process start's id.
-        epoch: The lease's epoch.
+        daemon: Name of the daemon.
+        service: Service of the daemon.
+        data_centre: Data centre of the daemon.
+        incarnation: Its current incarnation.
+        epoch: Epoch of its lease.
         lease_left_ms: Time until the lease ends; negative once it has.
         owned: Number of slots owned.
-        unrecorded: Of those, slots that the table does not show yet.
-        witnesses: Incarnations that witness the lease.
-        accepting: Whether it takes more slots.
+        unrecorded: Number of owned slots that are not yet recorded in the
+            table.
+        witnesses: Incarnations of the witnesses of the lease.
+        accepting: Whether the daemon accepts more slots.
         draining: Whether it is leaving.
-        target: The target's last announcement, if it is fresh.
-        in_progress: Requests at the target.
-        queued: Requests that wait for it.
-        in_flight: Callers' requests under way here.
-        hot_keys: Keys that bring most of the target's load.
+        target: Last announcement of the target, or None if it is too old.
+        in_progress: Number of requests that the target is executing.
+        queued: Number of requests that wait to be sent to the target.
+        in_flight: Number of callers' requests without a result.
+        hot_keys: Keys with most requests.
         table_revision: Revision up to which the table was read.
-        route_version: Rises with each route learnt.
-        pending: What the awaited transaction is for, if there is one.
+        route_version: Number of changes of slot owners known so far.
+        pending: Kind of the change whose commit is awaited, or "".
     """
 
     daemon: str
@@ -62,7 +63,15 @@
     request_forwarder: forwarder.Forwarder,
     clock: scheduler.Clock,
 ) -> dict[str, web.Page]:
-    """Returns the pages by path; `clock` is monotonic, in seconds."""
+    """Returns the pages by path.
+
+    Args:
+        core: Has the lease, the slots and the table's rows.
+        target: Client of the local target.
+        request_executor: Executor of requests for the owned slots.
+        request_forwarder: Forwarder of callers' requests.
+        clock: Monotonic clock, seconds.
+    """
 
     def status(query: dict[str, str]) -> bytes:
         del query
@@ -79,8 +88,8 @@
         slot = slots.slot_of_key(
             types.Key(key), reports.slot_count(core, service)
         )
-        found = reports.explanation(core, service, key, slot, clock())
-        return msgspec.json.encode(found)
+        explanation = reports.explanation(core, service, key, slot, clock())
+        return msgspec.json.encode(explanation)
 
     return {"/status": status, "/owners": owner_rows, "/explain": explain}
 
@@ -92,7 +101,7 @@
     request_forwarder: forwarder.Forwarder,
     now: float,
 ) -> Status:
-    left = core.lease_until() - now
+    lease_left = core.lease_until() - now
     pending = core.pending
     return Status(
         daemon=core.settings.daemon,
@@ -100,7 +109,7 @@
         data_centre=core.settings.data_centre,
         incarnation=core.incarnation,
         epoch=core.epoch,
-        lease_left_ms=round(max(left, -1e6) * 1000),
+        lease_left_ms=round(max(lease_left, -1e6) * 1000),
         owned=len(core.owned),
         unrecorded=len(core.unrecorded),
         witnesses=core.grants().witnesses,
--- a/tamarackgap/requests/targetclient.py
+++ b/tamarackgap/requests/targetclient.py
@@ -1,4 +1,4 @@
-"""The target beside this daemon: announcements, grants and hand-over."""
+"""Sends requests and grants to the local target."""
 
 from collections.abc import Callable
 
@@ -13,24 +13,24 @@
 
 _GRANT_TIMEOUT_S = 0.5
 _CANCEL_TIMEOUT_S = 0.5
-_SMALL_ANSWER_BYTES = 65_536
-# A target answers a run that met its deadline a little after it.
-_GRACE_S = 0.02
-_HEADER_BYTES = 16_384
+_MAX_CONTROL_ANSWER_BYTES = 65_536
+# A request that takes effect at its deadline is answered a little later.
+_DEADLINE_GRACE_S = 0.02
+_MAX_HEAD_BYTES = 16_384
 NOT_RUN_HEADER = "x-not-run"
 
 
 class Announcement(msgspec.Struct, frozen=True):
-    """What a target says of itself, about once a second.
+    """What a target announces about itself, about once a second.
 
     Attributes:
-        name: The target's name.
-        service: Its service.
-        address: Its `ip:port`.
-        slots: Requests it can run at once.
-        connections: Connections it accepts.
-        checks_grants: Whether it refuses work without a valid grant.
-        leaving: Whether it wants no new work.
+        name: Name of the target.
+        service: Service that it runs.
+        address: Its address, `ip:port`.
+        slots: Most requests that it executes at once.
+        connections: Most connections that it accepts.
+        checks_grants: Whether it refuses requests without a valid grant.
+        leaving: Whether it wants no new requests.
     """
 
     name: str
@@ -46,9 +46,9 @@
     """Tells the target which slots it may serve, and until when.
 
     Attributes:
-        owner: The incarnation that holds the lease.
+        owner: Incarnation that holds the lease.
         until: End of the lease on the VM's monotonic clock, seconds.
-        runs: The slots with their fences.
+        runs: Ranges of slots, with their fences.
     """
 
     owner: str
@@ -57,13 +57,13 @@
 
 
 class TargetRequest(msgspec.Struct, frozen=True):
-    """A request to hand to the target.
+    """A request to be sent to the target.
 
     Attributes:
         forward: The request.
         fence: Fence of its slot.
-        deadline: When it must have taken effect, on the VM's monotonic
-            clock, seconds.
+        deadline: Time by which it must have taken effect, on the VM's
+            monotonic clock, seconds.
     """
 
     forward: messages.Forward
@@ -86,7 +86,7 @@
 
 
 class TargetClient:
-    """The link to the target."""
+    """Sends requests to the target, and keeps its last announcement."""
 
     def __init__(
         self,
@@ -95,54 +95,55 @@
         max_announcement_age: float,
         max_answer_bytes: int,
     ) -> None:
-        """Creates a link to a target that has not announced itself.
+        """Creates a client of a target that has not announced itself.
 
         Args:
-            http: Carries the requests.
-            clock: The VM's monotonic clock; the target reads the same one.
+            http: HTTP client for all requests.
+            clock: The VM's monotonic clock, seconds. The target reads the
+                same clock.
             max_announcement_age: Age of an announcement at which the
                 target counts as absent, seconds.
             max_answer_bytes: Largest answer body, bytes.
         """
         self._http = http
         self._clock = clock
-        self._silence = max_announcement_age
-        self._largest_answer = max_answer_bytes
+        self._max_announcement_age = max_announcement_age
+        self._max_answer_bytes = max_answer_bytes
         self._announcement: Announcement | None = None
-        self._heard = float("-inf")
-        self._granting = False
+        self._last_heard = float("-inf")
+        self._grant_pending = False
 
     @property
     def announcement(self) -> Announcement | None:
-        """The last announcement, or None once it is old."""
-        if self._clock() - self._heard > self._silence:
+        """The last announcement, or None if it is too old."""
+        if self._clock() - self._last_heard > self._max_announcement_age:
             return None
         return self._announcement
 
     @property
     def concurrency(self) -> int:
-        """Most requests that the target can take at once; 0 if absent."""
-        known = self.announcement
-        if known is None:
+        """Most requests that the target executes at once; 0 if absent."""
+        announcement = self.announcement
+        if announcement is None:
             return 0
-        return min(known.slots, known.connections)
+        return min(announcement.slots, announcement.connections)
 
     @property
     def takes_work(self) -> bool:
-        """Whether the target is there and not leaving."""
-        known = self.announcement
-        return known is not None and not known.leaving
+        """Whether the target is present and not leaving."""
+        announcement = self.announcement
+        return announcement is not None and not announcement.leaving
 
     @property
     def checks_grants(self) -> bool:
-        """Whether the target refuses work without a valid grant."""
-        known = self.announcement
-        return known is not None and known.checks_grants
+        """Whether the target refuses requests without a valid grant."""
+        announcement = self.announcement
+        return announcement is not None and announcement.checks_grants
 
     def record_announcement(self, announcement: Announcement) -> None:
-        """Takes an announcement in."""
-        before = self._announcement
-        if before != announcement:
+        """Records an announcement, and logs it if it is a new one."""
+        previous = self._announcement
+        if previous != announcement:
             logs.event(
                 "target_announced",
                 target=announcement.name,
@@ -152,97 +153,112 @@
                 checks_grants=announcement.checks_grants,
             )
         self._announcement = announcement
-        self._heard = self._clock()
+        self._last_heard = self._clock()
 
     def record_answer(self) -> None:
-        """Notes an answer: a target that serves is there, if it is silent."""
+        """Records an answer.
+
+        A target that answers is present, even if it sends no announcements.
+        """
         if self._announcement is not None:
-            self._heard = self._clock()
+            self._last_heard = self._clock()
 
     def mark_unreachable(self) -> None:
-        """Notes that the target can't be reached."""
-        if self._heard != float("-inf"):
+        """Counts the target as absent until it is heard again."""
+        if self._last_heard != float("-inf"):
             logs.event("target_unreachable")
-        self._heard = float("-inf")
+        self._last_heard = float("-inf")
 
     def send_grant(self, grant: Grant) -> bool:
-        """Renews the target's grant; False if the last is on its way."""
-        known = self.announcement
-        if known is None or not known.checks_grants or self._granting:
+        """Sends a grant to the target.
+
+        Returns:
+            False if nothing was sent, because the target is absent or does
+            not check grants, or because the last grant is not yet answered.
+        """
+        announcement = self.announcement
+        if (
+            announcement is None
+            or not announcement.checks_grants
+            or self._grant_pending
+        ):
             return False
-        self._granting = True
+        self._grant_pending = True
 
-        def done(outcome: object) -> None:
+        def on_done(outcome: object) -> None:
             del outcome
-            self._granting = False
+            self._grant_pending = False
 
         self._http.send(
             httpclient.Request(
-                known.address,
+                announcement.address,
                 "PUT",
                 "/grant",
                 {"Content-Type": "application/json"},
                 msgspec.json.encode(grant),
                 _GRANT_TIMEOUT_S,
-                _SMALL_ANSWER_BYTES,
+                _MAX_CONTROL_ANSWER_BYTES,
             ),
-            done,
+            on_done,
         )
         return True
 
     def run(
-        self, order: TargetRequest, done: DoneCallback
+        self, request: TargetRequest, on_done: DoneCallback
     ) -> Callable[[], None]:
-        """Hands a request to the target.
+        """Has the target execute a request.
 
         Args:
-            order: The request, with its fence and deadline.
-            done: Called once with the result.
+            request: The request, with its fence and deadline.
+            on_done: Called once with the result.
 
         Returns:
-            A function that cancels the request, at the target as well.
+            A function that cancels the request, also at the target.
         """
-        known = self.announcement
-        if known is None:
-            done(verdicts.not_run(types.Reason.TARGET_ABSENT))
-            return _nothing
-        left = order.deadline - self._clock()
+        announcement = self.announcement
+        if announcement is None:
+            on_done(verdicts.not_run(types.Reason.TARGET_ABSENT))
+            return _do_nothing
+        remaining = request.deadline - self._clock()
         exchange = self._http.send(
-            self._request(known, order, left),
-            lambda outcome: done(self._judge(outcome)),
+            self._make_request(announcement, request, remaining),
+            lambda outcome: on_done(self._to_result(outcome)),
         )
 
         def cancel() -> None:
             if not exchange.finished:
                 self._http.cancel(exchange)
-                self._cancel(known.address, order.forward.leg)
+                self._cancel(announcement.address, request.forward.leg)
 
         return cancel
 
-    def _request(
-        self, known: Announcement, order: TargetRequest, left: float
+    def _make_request(
+        self,
+        announcement: Announcement,
+        request: TargetRequest,
+        remaining: float,
     ) -> httpclient.Request:
-        forward = order.forward
+        forward = request.forward
         headers = {
             "X-Request-Id": forward.request_id,
             "X-Run-Id": forward.leg,
             "X-Key": forward.key.encode("utf-8").hex(),
             "X-Slot": str(forward.slot),
-            "X-Fence": str(order.fence),
-            "X-Deadline": f"{order.deadline:.6f}",
+            "X-Fence": str(request.fence),
+            "X-Deadline": f"{request.deadline:.6f}",
             "X-Owner": forward.owner,
         }
         return httpclient.Request(
-            known.address,
+            announcement.address,
             forward.method,
             forward.path or "/",
             headers,
             forward.body,
-            left + _GRACE_S,
-            self._largest_answer + _HEADER_BYTES,
+            remaining + _DEADLINE_GRACE_S,
+            self._max_answer_bytes + _MAX_HEAD_BYTES,
         )
 
-    def _judge(
+    def _to_result(
         self, outcome: result.Result[httpclient.Answer, exchanges.Failure]
     ) -> verdicts.Result:
         match outcome:
@@ -255,32 +271,32 @@
                     answer.body,
                 )
             case result.Failure(exchanges.Failure() as failure):
-                return self._judge_failure(failure)
+                return self._failure_to_result(failure)
         raise AssertionError(outcome)
 
-    def _judge_failure(self, failure: exchanges.Failure) -> verdicts.Result:
+    def _failure_to_result(self, failure: exchanges.Failure) -> verdicts.Result:
         if failure.cause is exchanges.Cause.UNREACHABLE:
             self.mark_unreachable()
         if not failure.sent:
             return verdicts.not_run(types.Reason.TARGET_ABSENT)
-        return verdicts.may_have_run(_REASONS[failure.cause])
+        return verdicts.may_have_run(_REASON_BY_CAUSE[failure.cause])
 
-    def _cancel(self, address: str, run: str) -> None:
+    def _cancel(self, address: str, leg: str) -> None:
         self._http.send(
             httpclient.Request(
                 address,
                 "POST",
-                f"/cancel/{run}",
+                f"/cancel/{leg}",
                 {},
                 b"",
                 _CANCEL_TIMEOUT_S,
-                _SMALL_ANSWER_BYTES,
+                _MAX_CONTROL_ANSWER_BYTES,
             ),
             _ignore,
         )
 
 
-_REASONS = {
+_REASON_BY_CAUSE = {
     exchanges.Cause.UNREACHABLE: types.Reason.TARGET_ABSENT,
     exchanges.Cause.CLOSED: types.Reason.TARGET_FAILED,
     exchanges.Cause.TIMEOUT: types.Reason.NO_ANSWER,
@@ -291,7 +307,7 @@
 }
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     pass
 
 
--- a/tamarackgap/requests/web.py
+++ b/tamarackgap/requests/web.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers, operators and the target, by circuits.web."""
+"""Serves HTTP to callers, operators and the target, with circuits.web."""
 
 from collections.abc import Callable
 
@@ -14,10 +14,10 @@
 from tamarackgap.requests import forwarder, parsing, targetclient
 from tamarackgap.settings import config
 
-_HEAD_BYTES = 65_536
-_TLS_HANDSHAKE = b"\x16\x03"
-_TRACE_CHARACTERS = 2000
-_STATUS = {
+_MAX_HEAD_BYTES = 65_536
+_TLS_HANDSHAKE_PREFIX = b"\x16\x03"
+_MAX_TRACE_CHARACTERS = 2000
+_STATUS_BY_REASON = {
     types.Reason.BAD_REQUEST: 400,
     types.Reason.UNKNOWN_SERVICE: 404,
     types.Reason.BODY_TOO_LARGE: 413,
@@ -26,23 +26,34 @@
     types.Reason.IN_PROGRESS: 409,
     types.Reason.CRASHES_TARGETS: 422,
 }
-_UNAVAILABLE = 503
-_NO_ANSWER = 504
+# Statuses of other reasons.
+_NOT_RUN_STATUS = 503
+_MAY_HAVE_RUN_STATUS = 504
 
 
-# Returns a page's JSON text for a query; raises KeyError for a bad query.
+# Returns a page as JSON for the parameters of a query. Raises KeyError or
+# ValueError for a bad query.
 Page = Callable[[dict[str, str]], bytes]
 
 
-class _Part(msgspec.Struct):
-    """A request of which not all has come in."""
+class _PartialRequest(msgspec.Struct):
+    """A request that has not been received completely.
+
+    Attributes:
+        timer: Drops the connection if the rest takes too long.
+        size: Size received so far, bytes.
+    """
 
     timer: scheduler.Timer
     size: int = 0
 
 
 class Web(circuits.Component):
-    """Answers HTTP requests on the channel of a circuits.web server."""
+    """Handles HTTP requests on the channel of a circuits.web server.
+
+    Attributes:
+        draining: Whether requests of callers are refused.
+    """
 
     channel = "web"
 
@@ -59,58 +70,61 @@
 
         Args:
             settings: Limits of requests.
-            timers: The loop's scheduler.
-            request_forwarder: Serves callers' requests.
-            on_announcement: Takes an announcement; returns what is wrong
-                with it.
-            pages: Operators' pages by path.
-            render_metrics: Renders metrics for an Accept header.
+            timers: Timers for incomplete requests.
+            request_forwarder: Forwarder of callers' requests.
+            on_announcement: Called with each announcement of a target;
+                returns what is wrong with it, or None.
+            pages: Pages for operators, by path.
+            render_metrics: Returns the metrics and the HTTP headers for an
+                Accept header.
         """
         super().__init__()
         self._settings = settings
         self._timers = timers
-        self._entry = request_forwarder
-        self._announced = on_announcement
+        self._forwarder = request_forwarder
+        self._on_announcement = on_announcement
         self._pages = pages
-        self._metrics_page = render_metrics
-        self._flights: dict[object, tuple[forwarder.PendingRequest, ...]] = {}
-        self._parts: dict[object, _Part] = {}
+        self._render_metrics = render_metrics
+        self._pending_requests: dict[
+            object, tuple[forwarder.PendingRequest, ...]
+        ] = {}
+        self._partial_requests: dict[object, _PartialRequest] = {}
         self.draining = False
 
     @circuits.handler("read", priority=10)
     def _on_read(
         self, event: circuits.Event, sock: object, data: bytes
     ) -> None:
-        """Stops a request that grows over the limit while it is read."""
-        part = self._parts.get(sock)
-        if part is None:
-            part = _Part(self._await_rest(sock))
-            self._parts[sock] = part
-        part.size += len(data)
-        if data.startswith(_TLS_HANDSHAKE):
+        """Drops a connection whose request is too large, or is TLS."""
+        partial = self._partial_requests.get(sock)
+        if partial is None:
+            partial = _PartialRequest(self._start_timeout(sock))
+            self._partial_requests[sock] = partial
+        partial.size += len(data)
+        if data.startswith(_TLS_HANDSHAKE_PREFIX):
             event.stop()
             self._drop(sock, _MALFORMED, "tls-handshake")
-        elif part.size > self._settings.requests_body + _HEAD_BYTES:
+        elif partial.size > self._settings.requests_body + _MAX_HEAD_BYTES:
             event.stop()
             self._drop(sock, _TOO_LARGE, "body-too-large")
 
-    def _await_rest(self, sock: object) -> scheduler.Timer:
-        patience = self._settings.requests_patience / 1000
+    def _start_timeout(self, sock: object) -> scheduler.Timer:
+        timeout = self._settings.requests_patience / 1000
         return self._timers.after(
-            patience, lambda: self._drop(sock, _MALFORMED, "incomplete")
+            timeout, lambda: self._drop(sock, _MALFORMED, "incomplete")
         )
 
-    def _drop(self, sock: object, answer: bytes, why: str) -> None:
-        """Refuses what can't become a request, and closes."""
-        self._forget_part(sock)
+    def _drop(self, sock: object, response: bytes, why: str) -> None:
+        """Sends a refusal and closes the connection."""
+        self._remove_partial(sock)
         logs.event("connection_dropped", why=why)
-        self.fire(net_events.write(sock, answer))
+        self.fire(net_events.write(sock, response))
         self.fire(net_events.close(sock))
 
-    def _forget_part(self, sock: object) -> None:
-        part = self._parts.pop(sock, None)
-        if part is not None:
-            part.timer.cancel()
+    def _remove_partial(self, sock: object) -> None:
+        partial = self._partial_requests.pop(sock, None)
+        if partial is not None:
+            partial.timer.cancel()
 
     @circuits.handler("exception", channel="*")
     def _on_exception(
@@ -121,22 +135,25 @@
         handler: object = None,
         fevent: circuits.Event | None = None,
     ) -> None:
-        """Logs what went wrong in any handler; the daemon goes on."""
+        """Logs an exception in any handler; the daemon continues.
+
+        An exception while reading counts as a malformed request.
+        """
         del handler
         logs.event(
             "internal_error",
             during=fevent.name if fevent is not None else "",
             error=f"{kind.__name__}: {error}",
-            trace="".join(trace)[-_TRACE_CHARACTERS:],
+            trace="".join(trace)[-_MAX_TRACE_CHARACTERS:],
         )
         if fevent is not None and fevent.name == "read":
             self._drop(fevent.args[0], _MALFORMED, "malformed")
 
     @circuits.handler("disconnect")
     def _on_disconnect(self, sock: object) -> None:
-        self._forget_part(sock)
-        for flight in self._flights.pop(sock, ()):
-            self._entry.cancel(flight)
+        self._remove_partial(sock)
+        for pending in self._pending_requests.pop(sock, ()):
+            self._forwarder.cancel(pending)
 
     @circuits.handler("request", priority=10)
     def _on_request(
@@ -146,24 +163,28 @@
         response: wrappers.Response,
         *peer_certificate: object,
     ) -> bool:
-        """Routes a request; True means that the response is fired later."""
+        """Dispatches a request by its path.
+
+        Returns:
+            True, so that circuits leaves the response to this component.
+        """
         del peer_certificate
         event.stop()
-        self._forget_part(request.sock)
+        self._remove_partial(request.sock)
         body = request.body.read()
         path = request.path
         if path.startswith(parsing.PATH_PREFIX):
-            self._serve(request, response, body)
+            self._serve_caller(request, response, body)
         elif path == "/announce" and request.method == "POST":
-            self._announce(response, body)
+            self._handle_announcement(response, body)
         elif path == "/metrics":
-            text, headers = self._metrics_page(
+            text, headers = self._render_metrics(
                 request.headers.get("Accept", "")
             )
-            kind = headers.get("Content-Type", "text/plain")
-            self._respond(response, 200, kind, text)
+            content_type = headers.get("Content-Type", "text/plain")
+            self._respond(response, 200, content_type, text)
         elif path in self._pages:
-            self._page(request, response)
+            self._serve_page(request, response)
         else:
             self._refuse(
                 response,
@@ -172,7 +193,7 @@
             )
         return True
 
-    def _page(
+    def _serve_page(
         self, request: wrappers.Request, response: wrappers.Response
     ) -> None:
         query = parsing.parse_query(request.qs or "") or {}
@@ -188,26 +209,28 @@
             return
         self._respond(response, 200, "application/json", text)
 
-    def _announce(self, response: wrappers.Response, body: bytes) -> None:
+    def _handle_announcement(
+        self, response: wrappers.Response, body: bytes
+    ) -> None:
         try:
             announcement = msgspec.json.decode(
                 body, type=targetclient.Announcement
             )
         except msgspec.MsgspecError as error:
-            wrong = str(error)
+            problem = str(error)
         else:
-            wrong = self._announced(announcement)
-        if wrong is not None:
-            logs.event("announcement_refused", problem=wrong)
+            problem = self._on_announcement(announcement)
+        if problem is not None:
+            logs.event("announcement_refused", problem=problem)
             self._refuse(
                 response,
                 400,
-                parsing.Problem("not-run", "bad-request", "", wrong),
+                parsing.Problem("not-run", "bad-request", "", problem),
             )
             return
         self._respond(response, 200, "application/json", b"{}")
 
-    def _serve(
+    def _serve_caller(
         self,
         request: wrappers.Request,
         response: wrappers.Response,
@@ -228,38 +251,41 @@
                     request=problem.request,
                     detail=problem.detail,
                 )
-                self._refuse(response, _STATUS[reason], problem)
-            case result.Success(forwarder.CallerRequest() as parsed):
-                if not self._entry.has_service(parsed.service):
+                self._refuse(response, _STATUS_BY_REASON[reason], problem)
+            case result.Success(forwarder.CallerRequest() as caller_request):
+                if not self._forwarder.has_service(caller_request.service):
                     self._refuse_reason(
                         response,
                         types.Reason.UNKNOWN_SERVICE,
-                        parsed.request_id,
+                        caller_request.request_id,
                     )
                     return
-                self._begin(request.sock, response, parsed)
+                self._submit(request.sock, response, caller_request)
 
-    def _begin(
+    def _submit(
         self,
         sock: object,
         response: wrappers.Response,
-        parsed: forwarder.CallerRequest,
+        caller_request: forwarder.CallerRequest,
     ) -> None:
-        def done(outcome: verdicts.Result) -> None:
-            self._flights.pop(sock, None)
-            self._finish(response, parsed, outcome)
-
-        flight = self._entry.submit(parsed, done)
-        if flight.on_done is not None:
-            self._flights[sock] = (*self._flights.get(sock, ()), flight)
+        def on_done(outcome: verdicts.Result) -> None:
+            self._pending_requests.pop(sock, None)
+            self._respond_result(response, caller_request, outcome)
+
+        pending = self._forwarder.submit(caller_request, on_done)
+        if pending.on_done is not None:
+            self._pending_requests[sock] = (
+                *self._pending_requests.get(sock, ()),
+                pending,
+            )
 
-    def _finish(
+    def _respond_result(
         self,
         response: wrappers.Response,
-        parsed: forwarder.CallerRequest,
+        caller_request: forwarder.CallerRequest,
         outcome: verdicts.Result,
     ) -> None:
-        response.headers["X-Request-Id"] = parsed.request_id
+        response.headers["X-Request-Id"] = caller_request.request_id
         match outcome:
             case result.Success(verdicts.Answer() as answer):
                 response.headers["X-Verdict"] = types.Verdict.ANSWERED.value
@@ -267,12 +293,16 @@
                     response, answer.status, answer.content_type, answer.body
                 )
             case result.Failure(verdicts.Refusal() as refusal):
-                status = _NO_ANSWER if refusal.may_have_run else _UNAVAILABLE
-                status = _STATUS.get(refusal.reason, status)
+                status = (
+                    _MAY_HAVE_RUN_STATUS
+                    if refusal.may_have_run
+                    else _NOT_RUN_STATUS
+                )
+                status = _STATUS_BY_REASON.get(refusal.reason, status)
                 problem = parsing.Problem(
                     refusal.verdict.value,
                     refusal.reason.value,
-                    parsed.request_id,
+                    caller_request.request_id,
                 )
                 self._refuse(response, status, problem)
 
@@ -286,7 +316,9 @@
             types.Verdict.NOT_RUN.value, reason.value, request
         )
         logs.event("request_refused", reason=reason.value, request=request)
-        self._refuse(response, _STATUS.get(reason, _UNAVAILABLE), problem)
+        self._refuse(
+            response, _STATUS_BY_REASON.get(reason, _NOT_RUN_STATUS), problem
+        )
 
     def _refuse_detail(
         self,
@@ -322,8 +354,8 @@
         self.fire(web_events.response(response))
 
 
-def _closing(status: str, reason: types.Reason) -> bytes:
-    """Returns a whole answer that ends its connection."""
+def _closing_response(status: str, reason: types.Reason) -> bytes:
+    """Returns a complete refusal that ends its connection."""
     problem = parsing.Problem(types.Verdict.NOT_RUN.value, reason.value, "")
     body = msgspec.json.encode(problem)
     head = (
@@ -334,5 +366,7 @@
     return head.encode("ascii") + body
 
 
-_TOO_LARGE = _closing("413 Content Too Large", types.Reason.BODY_TOO_LARGE)
-_MALFORMED = _closing("400 Bad Request", types.Reason.BAD_REQUEST)
+_TOO_LARGE = _closing_response(
+    "413 Content Too Large", types.Reason.BODY_TOO_LARGE
+)
+_MALFORMED = _closing_response("400 Bad Request", types.Reason.BAD_REQUEST)
