--- a/tests/requests/test_limiter.py
+++ b/tests/requests/test_limiter.py
@@ -1,110 +1,112 @@
 from tamarackgap.requests import limiter
 
 
-class Bench:
+class LimiterHarness:
     def __init__(self, limit=2, queue=2):
-        self.subject = limiter.Limiter()
-        self.subject.set_limits(limit, queue, -100.0)
+        self.limiter = limiter.Limiter()
+        self.limiter.set_limits(limit, queue, -100.0)
         self.started = []
         self.shed = []
 
-    def admit(self, name, urgent=True, deadline=100.0, now=0.0, alone=False):
-        waiting = limiter.QueuedRequest(
+    def admit(
+        self, name, urgent=True, deadline=100.0, now=0.0, exclusive=False
+    ):
+        request = limiter.QueuedRequest(
             deadline,
             lambda: self.started.append(name),
             lambda: self.shed.append(name),
             urgent,
-            alone,
+            exclusive,
         )
-        return self.subject.admit(waiting, now)
+        return self.limiter.admit(request, now)
 
 
-def test_no_more_than_the_limit_run():
-    bench = Bench()
-    assert all(bench.admit(name) for name in "abcd")
-    assert bench.started == ["a", "b"]
-    assert not bench.admit("e")
-    bench.subject.release(0.0)
-    assert bench.started == ["a", "b", "c"]
-    assert bench.subject.in_progress == 2
+def test_requests_over_the_limit_are_queued_or_refused():
+    harness = LimiterHarness()
+    assert all(harness.admit(name) for name in "abcd")
+    assert harness.started == ["a", "b"]
+    assert not harness.admit("e")
+    harness.limiter.release(0.0)
+    assert harness.started == ["a", "b", "c"]
+    assert harness.limiter.in_progress == 2
 
 
-def test_urgent_requests_go_before_reports():
-    bench = Bench(limit=1)
-    bench.admit("a")
-    bench.admit("report", urgent=False)
-    bench.admit("b")
-    bench.subject.release(0.0)
-    assert bench.started == ["a", "b"]
+def test_urgent_requests_start_before_reports():
+    harness = LimiterHarness(limit=1)
+    harness.admit("a")
+    harness.admit("report", urgent=False)
+    harness.admit("b")
+    harness.limiter.release(0.0)
+    assert harness.started == ["a", "b"]
 
 
-def test_a_report_makes_room_for_an_urgent_request():
-    bench = Bench(limit=1)
-    bench.admit("a")
-    bench.admit("r1", urgent=False)
-    bench.admit("r2", urgent=False)
-    assert bench.admit("b")
-    assert bench.shed == ["r2"]
-    assert not bench.admit("r3", urgent=False)
+def test_urgent_request_displaces_a_queued_report():
+    harness = LimiterHarness(limit=1)
+    harness.admit("a")
+    harness.admit("r1", urgent=False)
+    harness.admit("r2", urgent=False)
+    assert harness.admit("b")
+    assert harness.shed == ["r2"]
+    assert not harness.admit("r3", urgent=False)
 
 
-def test_requests_past_their_deadline_are_shed():
-    bench = Bench(limit=1)
-    bench.admit("a")
-    bench.admit("late", deadline=1.0)
-    bench.subject.release(2.0)
-    assert bench.shed == ["late"]
-    assert bench.subject.in_progress == 0
+def test_queued_requests_past_their_deadline_are_shed():
+    harness = LimiterHarness(limit=1)
+    harness.admit("a")
+    harness.admit("late", deadline=1.0)
+    harness.limiter.release(2.0)
+    assert harness.shed == ["late"]
+    assert harness.limiter.in_progress == 0
 
 
-def test_a_greater_limit_starts_those_that_wait():
-    bench = Bench(limit=1)
+def test_higher_limit_starts_queued_requests():
+    harness = LimiterHarness(limit=1)
     for name in "abc":
-        bench.admit(name)
-    bench.subject.set_limits(3, 2, 0.0)
-    bench.subject.start_queued(0.0)
-    assert bench.started == ["a", "b", "c"]
+        harness.admit(name)
+    harness.limiter.set_limits(3, 2, 0.0)
+    harness.limiter.start_queued(0.0)
+    assert harness.started == ["a", "b", "c"]
 
 
-def test_flushing_sheds_all_that_wait():
-    bench = Bench(limit=1)
+def test_shed_all_sheds_all_queued_requests():
+    harness = LimiterHarness(limit=1)
     for name in "abc":
-        bench.admit(name)
-    bench.subject.shed_all()
-    assert bench.shed == ["b", "c"]
+        harness.admit(name)
+    harness.limiter.shed_all()
+    assert harness.shed == ["b", "c"]
 
 
-def test_one_that_must_run_alone_does():
-    bench = Bench(limit=4, queue=9)
-    bench.admit("a")
-    bench.admit("suspect", alone=True)
-    bench.admit("b")
-    assert bench.started == ["a"]
-    bench.subject.release(0.0)
-    assert bench.started == ["a", "suspect"]
-    bench.subject.release(0.0)
-    assert bench.started == ["a", "suspect", "b"]
+def test_exclusive_request_runs_alone():
+    harness = LimiterHarness(limit=4, queue=9)
+    harness.admit("a")
+    harness.admit("suspect", exclusive=True)
+    harness.admit("b")
+    assert harness.started == ["a"]
+    harness.limiter.release(0.0)
+    assert harness.started == ["a", "suspect"]
+    harness.limiter.release(0.0)
+    assert harness.started == ["a", "suspect", "b"]
 
 
-def test_a_target_that_refuses_gets_less_and_then_slowly_more():
-    bench = Bench(limit=10)
+def test_limit_falls_on_overload_and_recovers_slowly():
+    harness = LimiterHarness(limit=10)
     for _ in range(3):
-        bench.subject.record_overload()
-    low = bench.subject.limit(0.0)
-    assert low == 3
+        harness.limiter.record_overload()
+    reduced = harness.limiter.limit(0.0)
+    assert reduced == 3
     for _ in range(200):
-        bench.subject.record_answer()
-    assert bench.subject.limit(0.0) == 10
+        harness.limiter.record_answer()
+    assert harness.limiter.limit(0.0) == 10
 
 
-def test_a_target_that_has_just_come_starts_with_less():
-    subject = limiter.Limiter()
-    subject.set_limits(12, 9, 100.0)
-    assert subject.limit(100.0) == 3
-    assert 3 < subject.limit(102.5) < 12
-    assert subject.limit(105.0) == 12
+def test_limit_of_a_new_target_rises_to_the_full_limit():
+    new_limiter = limiter.Limiter()
+    new_limiter.set_limits(12, 9, 100.0)
+    assert new_limiter.limit(100.0) == 3
+    assert 3 < new_limiter.limit(102.5) < 12
+    assert new_limiter.limit(105.0) == 12
 
 
-def test_without_a_target_nothing_runs():
-    subject = limiter.Limiter()
-    assert subject.limit(0.0) == 0
+def test_limit_without_a_target_is_zero():
+    new_limiter = limiter.Limiter()
+    assert new_limiter.limit(0.0) == 0
--- a/tests/requests/test_quarantine.py
+++ b/tests/requests/test_quarantine.py
@@ -3,10 +3,10 @@
 from tamarackgap.peers import messages
 from tamarackgap.requests import quarantine
 
-STANDING = quarantine.QuarantineState
+STATE = quarantine.QuarantineState
 
 
-def forward(**changed):
+def make_forward(**changes):
     values = {
         "owner": "o",
         "leg": "l",
@@ -22,21 +22,21 @@
         "attempt": 1,
         "first_sent_ms": 0,
         "urgent": True,
-        **changed,
+        **changes,
     }
     return messages.Forward(**values)
 
 
-def test_a_content_is_the_same_under_another_id_and_owner():
-    first = quarantine.fingerprint_of(forward())
-    again = forward(request_id="r2", leg="l2", owner="p", attempt=3)
-    assert quarantine.fingerprint_of(again) == first
+def test_fingerprint_does_not_depend_on_ids_and_owner():
+    first = quarantine.fingerprint_of(make_forward())
+    repeated = make_forward(request_id="r2", leg="l2", owner="p", attempt=3)
+    assert quarantine.fingerprint_of(repeated) == first
 
 
-def test_contents_that_differ_are_told_apart():
-    found = {
-        quarantine.fingerprint_of(forward(**changed))
-        for changed in (
+def test_fingerprint_depends_on_each_part_of_the_content():
+    fingerprints = {
+        quarantine.fingerprint_of(make_forward(**changes))
+        for changes in (
             {},
             {"body": b"c"},
             {"key": "k2"},
@@ -44,34 +44,34 @@
             {"method": "PUT"},
         )
     }
-    assert len(found) == 5
+    assert len(fingerprints) == 5
 
 
-def test_a_conviction_is_not_eased_but_ends():
-    subject = quarantine.Quarantine(duration=10.0, limit=5)
-    subject.add("x", STANDING.BLOCKED, 0.0)
-    subject.add("x", STANDING.SUSPECTED, 1.0)
-    assert subject.state("x", 5.0) is STANDING.BLOCKED
-    assert subject.state("x", 11.0) is STANDING.CLEAR
+def test_blocked_stays_blocked_until_it_expires():
+    quarantined = quarantine.Quarantine(duration=10.0, limit=5)
+    quarantined.add("x", STATE.BLOCKED, 0.0)
+    quarantined.add("x", STATE.SUSPECTED, 1.0)
+    assert quarantined.state("x", 5.0) is STATE.BLOCKED
+    assert quarantined.state("x", 11.0) is STATE.CLEAR
 
 
-def test_a_suspect_that_did_no_harm_is_clear():
-    subject = quarantine.Quarantine(duration=10.0, limit=5)
-    subject.add("x", STANDING.SUSPECTED, 0.0)
-    subject.remove("x")
-    assert subject.state("x", 0.0) is STANDING.CLEAR
+def test_removed_fingerprint_is_clear():
+    quarantined = quarantine.Quarantine(duration=10.0, limit=5)
+    quarantined.add("x", STATE.SUSPECTED, 0.0)
+    quarantined.remove("x")
+    assert quarantined.state("x", 0.0) is STATE.CLEAR
 
 
-def test_only_so_many_are_kept():
-    subject = quarantine.Quarantine(duration=10.0, limit=3)
+def test_oldest_fingerprint_is_dropped_over_the_limit():
+    quarantined = quarantine.Quarantine(duration=10.0, limit=3)
     for name in "abcd":
-        subject.add(name, STANDING.SUSPECTED, 0.0)
-    assert len(subject) == 3
-    assert subject.state("a", 0.0) is STANDING.CLEAR
+        quarantined.add(name, STATE.SUSPECTED, 0.0)
+    assert len(quarantined) == 3
+    assert quarantined.state("a", 0.0) is STATE.CLEAR
 
 
-def test_messages_about_crashes_survive_the_wire():
-    crashed = messages.CrashReport(("x",), exclusive=True)
-    envelope = messages.Envelope("d", "s", "a", crashed)
+def test_crash_report_survives_encoding_and_decoding():
+    report = messages.CrashReport(("x",), exclusive=True)
+    envelope = messages.Envelope("d", "s", "a", report)
     assert messages.decode(messages.encode(envelope)) == envelope
-    assert msgspec.structs.asdict(crashed)["exclusive"]
+    assert msgspec.structs.asdict(report)["exclusive"]
