--- a/tamarackgap/requests/forwarder.py
+++ b/tamarackgap/requests/forwarder.py
@@ -1,7 +1,7 @@
 """Forwards callers' requests to the owners of their keys.
 
-A request that an owner refuses is forwarded again after a backoff, unless it
-may have been executed and is not idempotent.
+A refused request is forwarded again after a backoff if the reason may pass,
+the retry budget allows it, and it was not executed or is idempotent.
 """
 
 import functools
--- a/tamarackgap/requests/targetclient.py
+++ b/tamarackgap/requests/targetclient.py
@@ -164,7 +164,7 @@
             self._last_heard = self._clock()
 
     def mark_unreachable(self) -> None:
-        """Counts the target as absent until it is heard again."""
+        """Counts the target as absent until its next announcement or answer."""
         if self._last_heard != float("-inf"):
             logs.event("target_unreachable")
         self._last_heard = float("-inf")
