--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from bench import table
-from tests.support import world
+from tests.support import simulation
 
 _LEASE_S = 0.6
 _RENEW_S = _LEASE_S / 4
@@ -120,9 +120,9 @@
 
 
 def _ours(table_up: bool) -> Outcome:
-    found = world.World(seed=3, lease=_LEASE_S)
+    found = simulation.Simulation(seed=3, lease=_LEASE_S)
     found.deploy(_DAEMONS)
-    if found.run(_SETTLE_S, found.settled) is None:
+    if found.run(_SETTLE_S, found.is_balanced) is None:
         raise RuntimeError("the world did not settle")
     found.run(2.0)
     writes = found.table.writes
@@ -130,11 +130,13 @@
     steady = (found.table.writes - writes) / _STEADY_S
     found.table_up = table_up
     found.run(0.5)
-    found.worst_gap.clear()
+    found.longest_gap.clear()
     found.log.clear()
     found.kill("seats-1")
     found.run(_WATCH_S)
-    unserved = max(found.worst_gap.values()) if found.all_served() else None
+    unserved = (
+        max(found.longest_gap.values()) if found.all_slots_served() else None
+    )
     lost = len(found.events("lease_lost")) / (_DAEMONS - 1)
     return Outcome(steady, unserved, lost)
 
--- a/bench/datapath.py
+++ b/bench/datapath.py
@@ -12,7 +12,7 @@
 
 from bench import process, recovery, table
 from demo import cluster, deployments
-from standins import site
+from standins import platformcluster
 
 _BASE_PORT = 27000
 _BARE = "127.0.0.1:27100"
@@ -125,7 +125,7 @@
     """Measures the router's entry and owner side beside a bare handler."""
     seconds = 2.0 if quick else 8.0
     with _bare_handler() as bare, tempfile.TemporaryDirectory() as folder:
-        found = site.Site(
+        found = platformcluster.PlatformCluster(
             pathlib.Path(folder),
             [("entry", "money", True), ("owner", "seats", False)],
         )
@@ -138,17 +138,20 @@
 
 
 def _router_paths(
-    found: site.Site, bare: int, seconds: float
+    found: platformcluster.PlatformCluster, bare: int, seconds: float
 ) -> list[table.Row]:
-    entry, owner = found.places
+    entry, owner = found.nodes
     owner.server.work_s = 0.0
     path = "/browse/x"
-    if not site.wait(
+    if not platformcluster.wait_until(
         _READY_S,
         lambda: (
             entry.is_ready()
             and owner.is_ready()
-            and site.call(entry, "seats.example", path)[0] == 200
+            and platformcluster.send_caller_request(
+                entry, "seats.example", path
+            )[0]
+            == 200
         ),
     ):
         raise RuntimeError("the router did not get ready")
@@ -160,7 +163,7 @@
             _measure("bare handler", _BARE, "/", [bare], callers, seconds),
             _measure(
                 "router, owner asked",
-                owner.callers,
+                owner.caller_address,
                 path,
                 [own],
                 callers,
@@ -169,7 +172,7 @@
             ),
             _measure(
                 "router, entry then owner",
-                entry.callers,
+                entry.caller_address,
                 path,
                 both,
                 callers,
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -61,7 +61,7 @@
         OSError: If there is no whole answer.
     """
     data = json.dumps(body).encode() if body is not None else b""
-    return control.ask(address, method, path, data, timeout)
+    return control.send_request(address, method, path, data, timeout)
 
 
 @contextlib.contextmanager
@@ -265,9 +265,9 @@
         """Switches faults of the platform."""
         call(self.table, "POST", "/faults", values)
 
-    def runs(self) -> list[target_lib.Run]:
+    def runs(self) -> list[target_lib.RunRecord]:
         """Returns everything that the targets say took effect."""
-        decoder = msgspec.json.Decoder(target_lib.Run)
+        decoder = msgspec.json.Decoder(target_lib.RunRecord)
         found = []
         for place in self.places:
             path = self.folder / f"{place.name}.runs"
--- a/demo/judge.py
+++ b/demo/judge.py
@@ -28,18 +28,18 @@
     """
 
     results: list[load.Result]
-    runs: list[target_lib.Run]
+    runs: list[target_lib.RunRecord]
     left: dict[str, float] = {}
     drained: dict[str, int | None] = {}
     edits: dict[str, int] = {}
     in_force: dict[str, dict[str, int]] = {}
 
 
-def _service(run: target_lib.Run) -> str:
+def _service(run: target_lib.RunRecord) -> str:
     return run.target.rpartition("-")[0]
 
 
-def _unsafe(runs: Iterable[target_lib.Run]) -> list[target_lib.Run]:
+def _unsafe(runs: Iterable[target_lib.RunRecord]) -> list[target_lib.RunRecord]:
     return [run for run in runs if not run.operation.startswith("GET")]
 
 
@@ -63,7 +63,7 @@
 
 def fences_fall(evidence: Evidence) -> list[str]:
     """Finds runs under a lower fence than an earlier run of the slot."""
-    highest: dict[tuple[str, int], target_lib.Run] = {}
+    highest: dict[tuple[str, int], target_lib.RunRecord] = {}
     found = []
     for run in sorted(evidence.runs, key=lambda run: run.at):
         place = (_service(run), run.slot)
--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -67,7 +67,7 @@
     for step in range(int(3 / STEP_S)):
         now = step * STEP_S
         for member in members.values():
-            revision, rows = table.since(member.view.cursor)
+            revision, rows = table.rows_since(member.view.cursor)
             member.apply_table_read(list[records.Row](rows), revision, now)
             member.report_load({}, now)
             member.tick(now)
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -20,19 +20,20 @@
     failed = 0
     for seed in range(begin, begin + seeds):
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        verdict = run.run(folder, seed, seconds)
-        recovered = verdict.recovered_s
+        result = run.run_seed(folder, seed, seconds)
+        recovered = result.recovery_s
         click.echo(
-            f"seed {seed}: {'kept' if verdict.passed else 'FAILED'},"
-            f" {verdict.asked} asked, {verdict.served:.3f} served, all served"
+            f"seed {seed}: {'kept' if result.passed else 'FAILED'},"
+            f" {result.requests_sent} asked,"
+            f" {result.served_share:.3f} served, all served"
             f" {'never' if recovered is None else f'{recovered:.1f} s'}"
             " after the last fault"
         )
-        if not verdict.passed:
+        if not result.passed:
             failed += 1
-            (folder / "story.txt").write_text("\n".join(verdict.story))
+            (folder / "story.txt").write_text("\n".join(result.fault_log))
             click.echo(f"  logs: {folder}")
-            for violation in verdict.violations:
+            for violation in result.violations:
                 click.echo(f"  {violation}")
     sys.exit(1 if failed else 0)
 
--- a/soak/judge.py
+++ b/soak/checker.py
@@ -12,23 +12,23 @@
 _MOST_TOLD = 20
 
 
-class Asked(msgspec.Struct, frozen=True):
+class Exchange(msgspec.Struct, frozen=True):
     """A request of a caller, and its answer; status 0 for none."""
 
     request: str
     idempotent: bool
     path: str
     status: int
-    signed: bool
-    echo: str
+    has_signature: bool
+    answered_id: str
     body: bytes
 
 
-class Judge:
-    """Collects what was asked and run, and what of it breaks a promise."""
+class InvariantChecker:
+    """Collects what was sent and run, and what of it breaks a promise."""
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.requests_sent = 0
         self.statuses: collections.Counter[int] = collections.Counter()
         self.violations: list[str] = []
         self._runs: collections.Counter[str] = collections.Counter()
@@ -37,23 +37,23 @@
         self._servers: list[appserver.AppServer] = []
         self._lock = threading.Lock()
 
-    def watch(self, server: appserver.AppServer) -> None:
+    def add_server(self, server: appserver.AppServer) -> None:
         """Looks at each request that a server begins to run."""
         with self._lock:
             self._servers.append(server)
-        server.begins = self._begins
+        server.on_run_started = self._begins
 
-    def ask(self, asked: Asked) -> None:
+    def record_exchange(self, exchange: Exchange) -> None:
         """Looks at an answer."""
         with self._lock:
-            self.asked += 1
-            self.statuses[asked.status] += 1
-            if not asked.idempotent:
-                self._single.add(asked.request)
-                if asked.status in _NOT_RUN:
-                    self._refused.add(asked.request)
-        if 200 <= asked.status < 300:
-            self._check_answer(asked)
+            self.requests_sent += 1
+            self.statuses[exchange.status] += 1
+            if not exchange.idempotent:
+                self._single.add(exchange.request)
+                if exchange.status in _NOT_RUN:
+                    self._refused.add(exchange.request)
+        if 200 <= exchange.status < 300:
+            self._check_answer(exchange)
 
     def finish(self) -> list[str]:
         """Returns all violations, with those that show at the end only."""
@@ -75,7 +75,7 @@
                 for other in self._servers
                 if other is not server
                 and other.service == server.service
-                and not other.ended
+                and not other.is_stopped
             ]
         if position is None:
             return
@@ -87,15 +87,19 @@
                 f" {', '.join(also)} holds it too"
             )
 
-    def _check_answer(self, asked: Asked) -> None:
+    def _check_answer(self, exchange: Exchange) -> None:
         try:
-            told = json.loads(asked.body)
+            told = json.loads(exchange.body)
         except ValueError:
             told = {}
-        if not asked.signed or told.get("path") != asked.path:
-            self._violated(f"MIXED {asked.request}: not its own whole answer")
-        elif asked.echo != asked.request:
-            self._violated(f"MIXED {asked.request}: answer of {asked.echo}")
+        if not exchange.has_signature or told.get("path") != exchange.path:
+            self._violated(
+                f"MIXED {exchange.request}: not its own whole answer"
+            )
+        elif exchange.answered_id != exchange.request:
+            self._violated(
+                f"MIXED {exchange.request}: answer of {exchange.answered_id}"
+            )
 
     def _violated(self, text: str) -> None:
         self.violations.append(text)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from soak import proxy
-from standins import site as site_lib
+from standins import platformcluster
 
 # The product allows for this much delay on the way to its own target; a longer
 # one makes grants late, which the promises leave out.
@@ -16,94 +16,96 @@
 _STORE_DELAY_S = 0.3
 
 
-class Scene(msgspec.Struct):
+class FaultContext(msgspec.Struct):
     """What faults act on.
 
     Attributes:
-        site: The store and the places.
-        stores: Each place's way to the store.
-        targets: Each place's way to its target.
-        start_server: Starts the next life of a place's server.
-        rng: Picks places and times.
-        versions: Last version of the configuration that was written.
+        cluster: The store and the nodes.
+        store_proxies: Each node's way to the store.
+        target_proxies: Each node's way to its target.
+        start_server: Starts the next life of a node's server.
+        rng: Picks nodes and times.
+        config_version: Last version of the configuration that was written.
     """
 
-    site: site_lib.Site
-    stores: dict[str, proxy.Proxy]
-    targets: dict[str, proxy.Proxy]
-    start_server: Callable[[site_lib.Place], None]
+    cluster: platformcluster.PlatformCluster
+    store_proxies: dict[str, proxy.Proxy]
+    target_proxies: dict[str, proxy.Proxy]
+    start_server: Callable[[platformcluster.Node], None]
     rng: random.Random
-    versions: int = 1
+    config_version: int = 1
 
 
-def kill(scene: Scene, place: site_lib.Place) -> None:
+def kill(context: FaultContext, node: platformcluster.Node) -> None:
     """Kills a daemon beside its living server, and starts it again."""
-    place.kill()
-    time.sleep(scene.rng.uniform(0.0, 2.0))
-    place.start()
+    node.kill()
+    time.sleep(context.rng.uniform(0.0, 2.0))
+    node.start()
 
 
-def kill_all(scene: Scene, place: site_lib.Place) -> None:
+def kill_all(context: FaultContext, node: platformcluster.Node) -> None:
     """Kills all daemons at once."""
-    del place
-    for each in scene.site.places:
+    del node
+    for each in context.cluster.nodes:
         each.kill()
-    time.sleep(scene.rng.uniform(0.0, 1.0))
-    for each in scene.site.places:
+    time.sleep(context.rng.uniform(0.0, 1.0))
+    for each in context.cluster.nodes:
         each.start()
 
 
-def pause(scene: Scene, place: site_lib.Place) -> None:
+def pause(context: FaultContext, node: platformcluster.Node) -> None:
     """Stops a daemon, past its lease at times, and lets it go on."""
-    place.process.send_signal(signal.SIGSTOP)
-    time.sleep(scene.rng.uniform(0.1, 3.0))
-    place.process.send_signal(signal.SIGCONT)
+    node.process.send_signal(signal.SIGSTOP)
+    time.sleep(context.rng.uniform(0.1, 3.0))
+    node.process.send_signal(signal.SIGCONT)
 
 
-def restart(scene: Scene, place: site_lib.Place) -> None:
+def restart(context: FaultContext, node: platformcluster.Node) -> None:
     """Asks a daemon to end, and starts it again."""
-    del scene
-    place.process.send_signal(signal.SIGTERM)
-    place.process.wait(timeout=20)
-    place.start()
+    del context
+    node.process.send_signal(signal.SIGTERM)
+    node.process.wait(timeout=20)
+    node.start()
 
 
-def crash_server(scene: Scene, place: site_lib.Place) -> None:
+def crash_server(context: FaultContext, node: platformcluster.Node) -> None:
     """Ends a server without a word; its next life comes later."""
-    place.server.stop()
-    time.sleep(scene.rng.uniform(0.1, 2.0))
-    scene.start_server(place)
+    node.server.stop()
+    time.sleep(context.rng.uniform(0.1, 2.0))
+    context.start_server(node)
 
 
-def replace_server(scene: Scene, place: site_lib.Place) -> None:
+def replace_server(context: FaultContext, node: platformcluster.Node) -> None:
     """Lets a server leave, and starts another at its address."""
-    place.server.state = "draining"
-    place.server.say()
+    node.server.state = "draining"
+    node.server.send_heartbeat()
     time.sleep(2.5)
-    crash_server(scene, place)
+    crash_server(context, node)
 
 
-def store_down(scene: Scene, place: site_lib.Place) -> None:
+def store_down(context: FaultContext, node: platformcluster.Node) -> None:
     """Lets the store refuse, or answer nobody."""
-    del place
-    store = scene.site.store
-    if scene.rng.random() < 0.5:
-        store.failing = 503
+    del node
+    store = context.cluster.store
+    if context.rng.random() < 0.5:
+        store.failure_status = 503
     else:
-        store.silent = True
-    time.sleep(scene.rng.uniform(0.5, 5.0))
-    store.failing = None
-    store.silent = False
+        store.is_unresponsive = True
+    time.sleep(context.rng.uniform(0.5, 5.0))
+    store.failure_status = None
+    store.is_unresponsive = False
 
 
-def store_forgets(scene: Scene, place: site_lib.Place) -> None:
+def drop_store_history(
+    context: FaultContext, node: platformcluster.Node
+) -> None:
     """Lets the store drop its history."""
-    del place
-    scene.site.store.forget_history()
+    del node
+    context.cluster.store.forget_history()
 
 
 def _harm(
-    scene: Scene,
+    context: FaultContext,
     link: proxy.Proxy,
     delay_s: float,
     least_s: float,
@@ -112,44 +114,54 @@
     """Harms a link for a while, in one of the ways there are.
 
     Args:
-        scene: The run.
+        context: The run.
         link: The link.
         delay_s: Longest delay, seconds; it stays.
         least_s: Least time for which it is harmed, seconds.
         most_s: Longest such time, seconds.
     """
-    link.delay_s = scene.rng.uniform(0.0, delay_s)
-    link.mode = scene.rng.choice(
+    link.delay_s = context.rng.uniform(0.0, delay_s)
+    link.mode = context.rng.choice(
         [mode for mode in proxy.Mode if mode is not proxy.Mode.PASS]
     )
-    time.sleep(scene.rng.uniform(least_s, most_s))
+    time.sleep(context.rng.uniform(least_s, most_s))
     link.mode = proxy.Mode.PASS
 
 
-def harm_store_link(scene: Scene, place: site_lib.Place) -> None:
-    """Harms one place's way to the store."""
-    _harm(scene, scene.stores[place.name], _STORE_DELAY_S, 0.3, 4.0)
+def disrupt_store_link(
+    context: FaultContext, node: platformcluster.Node
+) -> None:
+    """Harms one node's way to the store."""
+    _harm(context, context.store_proxies[node.name], _STORE_DELAY_S, 0.3, 4.0)
 
 
-def harm_target_link(scene: Scene, place: site_lib.Place) -> None:
+def disrupt_target_link(
+    context: FaultContext, node: platformcluster.Node
+) -> None:
     """Harms a daemon's way to its own target."""
-    _harm(scene, scene.targets[place.name], _TARGET_DELAY_S, 0.1, 1.5)
+    _harm(context, context.target_proxies[node.name], _TARGET_DELAY_S, 0.1, 1.5)
 
 
-def change(scene: Scene, place: site_lib.Place) -> None:
+def change_configuration(
+    context: FaultContext, node: platformcluster.Node
+) -> None:
     """Writes the next version of the configuration."""
-    del place
-    scene.versions += scene.rng.randint(1, 3)
-    extra = site_lib.route("x", "x.example", f"/{scene.versions}/", "seats")
-    scene.site.store.put(
+    del node
+    context.config_version += context.rng.randint(1, 3)
+    extra = platformcluster.route(
+        "x", "x.example", f"/{context.config_version}/", "seats"
+    )
+    context.cluster.store.put(
         "op",
         "config",
-        site_lib.configuration(scene.versions, *site_lib.USUAL, extra),
+        platformcluster.configuration(
+            context.config_version, *platformcluster.DEFAULT_RESOURCES, extra
+        ),
     )
 
 
-# Injects itself at a place, and ends once it has been taken back.
-Fault = Callable[[Scene, site_lib.Place], None]
+# Injects itself at a node, and ends once it has been taken back.
+Fault = Callable[[FaultContext, platformcluster.Node], None]
 
 ALL: tuple[Fault, ...] = (
     kill,
@@ -159,8 +171,8 @@
     crash_server,
     replace_server,
     store_down,
-    store_forgets,
-    harm_store_link,
-    harm_target_link,
-    change,
+    drop_store_history,
+    disrupt_store_link,
+    disrupt_target_link,
+    change_configuration,
 )
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run of the soak: a site, callers, faults, and the verdict."""
+"""One seeded run of the soak: a cluster, callers, faults, and the result."""
 
 import contextlib
 import http.client
@@ -11,11 +11,10 @@
 
 import msgspec
 
-from soak import faults, judge, proxy
-from standins import ports
-from standins import site as site_lib
+from soak import checker, faults, proxy
+from standins import platformcluster, ports
 
-_PLACES = (
+_NODES = (
     ("north", "seats", False),
     ("south", "seats", False),
     ("east", "money", True),
@@ -32,100 +31,104 @@
 _SETTLE_S = 2.0
 
 
-class Verdict(msgspec.Struct, frozen=True):
+class RunResult(msgspec.Struct, frozen=True):
     """What a run showed.
 
     Attributes:
         violations: Broken promises.
-        asked: Requests that callers sent.
-        served: The part of them that was answered well.
-        recovered_s: How long after the last fault all was served; None if
+        requests_sent: Requests that callers sent.
+        served_share: The part of them that was answered well.
+        recovery_s: How long after the last fault all was served; None if
             it was not within the bound.
-        story: The faults, with their times.
+        fault_log: The faults, with their times.
     """
 
     violations: list[str]
-    asked: int
-    served: float
-    recovered_s: float | None
-    story: list[str]
+    requests_sent: int
+    served_share: float
+    recovery_s: float | None
+    fault_log: list[str]
 
     @property
     def passed(self) -> bool:
         """Whether every promise was kept."""
-        return not self.violations and self.recovered_s is not None
+        return not self.violations and self.recovery_s is not None
 
 
 class _Soak:
-    """A site with its proxies, callers and faults."""
+    """A cluster with its proxies, callers and faults."""
 
     def __init__(self, folder: pathlib.Path, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.judge = judge.Judge()
-        self.site = site_lib.Site(folder, _PLACES)
-        self.story: list[str] = []
+        self.checker = checker.InvariantChecker()
+        self.cluster = platformcluster.PlatformCluster(folder, _NODES)
+        self.fault_log: list[str] = []
         self._ids = itertools.count(1)
         self._ended = threading.Event()
         self._begun = time.monotonic()
         self._proxies: list[proxy.Proxy] = []
-        stores = {}
-        targets = {}
-        for place in self.site.places:
-            stores[place.name] = self._proxy(place.store)
-            place.store = self._last
-            targets[place.name] = self._proxy(place.app)
-            place.target = self._last
-        self.scene = faults.Scene(
-            self.site, stores, targets, self.start_server, self.rng
+        store_proxies = {}
+        target_proxies = {}
+        for node in self.cluster.nodes:
+            store_proxies[node.name] = self._proxy(node.store_address)
+            node.store_address = self._last
+            target_proxies[node.name] = self._proxy(node.server_address)
+            node.target_address = self._last
+        self.context = faults.FaultContext(
+            self.cluster,
+            store_proxies,
+            target_proxies,
+            self.start_server,
+            self.rng,
         )
 
     def _proxy(self, target: str) -> proxy.Proxy:
-        port = ports.free_ports(1, self.site.next_port())
-        self.site.used(port + 1)
+        port = ports.free_ports(1, self.cluster.next_port())
+        self.cluster.reserve_ports_below(port + 1)
         self._last = f"127.0.0.1:{port}"
         found = proxy.Proxy(self._last, target)
         self._proxies.append(found)
         return found
 
-    def start_server(self, place: site_lib.Place) -> None:
-        place.start_server()
-        self.judge.watch(place.server)
+    def start_server(self, node: platformcluster.Node) -> None:
+        node.start_server()
+        self.checker.add_server(node.server)
 
     def start(self) -> None:
-        self.site.start()
-        for place in self.site.places:
-            self.judge.watch(place.server)
-        if not site_lib.wait(_READY_S, self._works):
-            raise TimeoutError("the site does not serve everything")
+        self.cluster.start()
+        for node in self.cluster.nodes:
+            self.checker.add_server(node.server)
+        if not platformcluster.wait_until(_READY_S, self._works):
+            raise TimeoutError("the cluster does not serve everything")
 
     def stop(self) -> None:
         self._ended.set()
-        self.site.stop()
+        self.cluster.stop()
         for each in self._proxies:
             each.close()
 
     def play(self, seconds: float) -> None:
         """Runs callers and faults, which overlap, for a time."""
-        for place in self.site.places:
+        for node in self.cluster.nodes:
             for _ in range(_CALLERS_A_PLACE):
                 threading.Thread(
-                    target=self._call, args=(place,), daemon=True
+                    target=self._call, args=(node,), daemon=True
                 ).start()
         end = time.monotonic() + seconds
         going: dict[str, threading.Thread] = {}
         while time.monotonic() < end:
             time.sleep(self.rng.uniform(0.1, 1.5))
             fault = self.rng.choice(faults.ALL)
-            place = self.rng.choice(self.site.places)
-            names = {place.name}
+            node = self.rng.choice(self.cluster.nodes)
+            names = {node.name}
             if fault is faults.kill_all:
-                names = {each.name for each in self.site.places}
-            # One thing at a time is done to each place's processes.
+                names = {each.name for each in self.cluster.nodes}
+            # One thing at a time is done to each node's processes.
             if any(name in going and going[name].is_alive() for name in names):
                 continue
-            self._note(f"{fault.__name__} {place.name}")
+            self._note(f"{fault.__name__} {node.name}")
             thread = threading.Thread(
-                target=self._inject, args=(fault, place), daemon=True
+                target=self._inject, args=(fault, node), daemon=True
             )
             thread.start()
             going.update(dict.fromkeys(names, thread))
@@ -135,30 +138,30 @@
     def recover(self) -> float | None:
         """Returns how long it took until all was served, or None."""
         begun = time.monotonic()
-        worked = site_lib.wait(_RECOVER_S, self._works)
+        worked = platformcluster.wait_until(_RECOVER_S, self._works)
         return time.monotonic() - begun if worked else None
 
     def _works(self) -> bool:
         with contextlib.suppress(OSError, http.client.HTTPException):
-            return self.site.works()
+            return self.cluster.serves_all_routes()
         return False
 
-    def _inject(self, fault: faults.Fault, place: site_lib.Place) -> None:
+    def _inject(self, fault: faults.Fault, node: platformcluster.Node) -> None:
         try:
-            fault(self.scene, place)
+            fault(self.context, node)
         except Exception:  # noqa: BLE001
             # A fault that can't be injected makes the run worthless.
-            self.judge.violations.append(traceback.format_exc())
-        self._note(f"{fault.__name__} {place.name} ends")
+            self.checker.violations.append(traceback.format_exc())
+        self._note(f"{fault.__name__} {node.name} ends")
 
     def _note(self, text: str) -> None:
         at = time.monotonic() - self._begun
-        self.story.append(f"{at:7.3f} {text}")
+        self.fault_log.append(f"{at:7.3f} {text}")
 
-    def _call(self, place: site_lib.Place) -> None:
+    def _call(self, node: platformcluster.Node) -> None:
         """Asks again and again, on a connection that is kept while it works."""
         rng = random.Random(self.rng.random())
-        link = http.client.HTTPConnection(place.callers, timeout=3)
+        link = http.client.HTTPConnection(node.caller_address, timeout=3)
         while not self._ended.is_set():
             time.sleep(rng.uniform(0, 2 * _PAUSE_S))
             request = f"s{next(self._ids):07d}"
@@ -180,9 +183,11 @@
                 status, answer = found.status, found.headers
             except (OSError, http.client.HTTPException):
                 link.close()
-                link = http.client.HTTPConnection(place.callers, timeout=3)
-            self.judge.ask(
-                judge.Asked(
+                link = http.client.HTTPConnection(
+                    node.caller_address, timeout=3
+                )
+            self.checker.record_exchange(
+                checker.Exchange(
                     request,
                     not pay,
                     path,
@@ -194,12 +199,12 @@
             )
 
 
-def run(folder: pathlib.Path, seed: int, seconds: float) -> Verdict:
+def run_seed(folder: pathlib.Path, seed: int, seconds: float) -> RunResult:
     """Plays one seed.
 
     Args:
         folder: Takes settings and logs.
-        seed: Of places, faults and times.
+        seed: Of nodes, faults and times.
         seconds: How long faults are injected.
     """
     soak = _Soak(folder, seed)
@@ -208,14 +213,14 @@
         soak.play(seconds)
         recovered = soak.recover()
         time.sleep(_SETTLE_S)
-        violations = soak.judge.finish()
+        violations = soak.checker.finish()
     finally:
         soak.stop()
-    asked = soak.judge.asked
-    return Verdict(
+    requests_sent = soak.checker.requests_sent
+    return RunResult(
         violations,
-        asked,
-        soak.judge.statuses[200] / max(1, asked),
+        requests_sent,
+        soak.checker.statuses[200] / max(1, requests_sent),
         recovered,
-        soak.story,
+        soak.fault_log,
     )
--- a/standins/appserver.py
+++ b/standins/appserver.py
@@ -49,14 +49,16 @@
         self.slots = 8
         self.state = "ready"
         # Ids of all requests that were run, with their keys.
-        self.ran: list[tuple[str, int | None]] = []
-        self.grants = 0
+        self.executed_requests: list[tuple[str, int | None]] = []
+        self.grant_count = 0
         # What to do with a request instead of running it well.
         self.fault = ""
         # Called with this server, id and key of each request that it runs.
-        self.begins: Callable[[AppServer, str, int | None], None] = _ignore
+        self.on_run_started: Callable[[AppServer, str, int | None], None] = (
+            _ignore
+        )
         # A request for this path ends its life.
-        self.deadly = ""
+        self.crash_path = ""
         self._daemon = daemon
         self._keyed = keyed
         self._born = int(time.time() * 1000)
@@ -74,7 +76,7 @@
         threading.Thread(target=self._announce, daemon=True).start()
 
     @property
-    def ended(self) -> bool:
+    def is_stopped(self) -> bool:
         """Whether this life is over, and its address free."""
         return self._closed.is_set()
 
@@ -85,7 +87,7 @@
         self._server.server_close()
         self._closed.set()
 
-    def say(self) -> bool:
+    def send_heartbeat(self) -> bool:
         """Announces itself once; returns whether it was acknowledged."""
         self._sequence += 1
         body = {
@@ -120,30 +122,30 @@
 
     def _announce(self) -> None:
         while not self._ended.is_set():
-            self.say()
+            self.send_heartbeat()
             self._ended.wait(_HEARTBEAT_S)
 
-    def _answer(self, query: httpd.Query) -> httpd.Reply:
+    def _answer(self, query: httpd.Request) -> httpd.Response:
         if self._ended.is_set():
-            return httpd.Reply(None)
+            return httpd.Response(None)
         if query.path == "/-/grant":
             return self._grant(query.json())
         if query.path == "/-/release":
             return self._release(query.json())
         return self._run(query)
 
-    def _grant(self, body: dict) -> httpd.Reply:
+    def _grant(self, body: dict) -> httpd.Response:
         with self._lock:
-            self.grants += 1
+            self.grant_count += 1
             first, last = body["from"], body["target"]
             for hold in self._holds:
                 overlaps = hold.first <= last and hold.last >= first
                 if overlaps and hold.fence > body["fence"]:
-                    return httpd.Reply(409)
+                    return httpd.Response(409)
             until = time.monotonic() + body["hold_ms"] / 1000
             self._cut(first, last)
             self._holds.append(_Hold(first, last, body["fence"], until))
-        return httpd.Reply(200)
+        return httpd.Response(200)
 
     def _cut(self, first: int, last: int) -> None:
         kept = []
@@ -168,14 +170,14 @@
                 )
         self._holds = kept
 
-    def _release(self, body: dict) -> httpd.Reply:
+    def _release(self, body: dict) -> httpd.Response:
         with self._lock:
             self._cut(body["from"], body["target"])
             self._handovers += 1
             text = f"{self.instance}-{self._handovers}"
-        return httpd.Reply(200, headers={"X-Tamarackgap-Handover": text})
+        return httpd.Response(200, headers={"X-Tamarackgap-Handover": text})
 
-    def _run(self, query: httpd.Query) -> httpd.Reply:
+    def _run(self, query: httpd.Request) -> httpd.Response:
         request = query.headers.get("x-tamarackgap-attempt-id", "")
         echo = {"X-Tamarackgap-Attempt-Id": request}
         wanted = query.headers.get("x-tamarackgap-target-instance")
@@ -184,28 +186,28 @@
         if wanted != self.instance or (
             self._keyed and not self.holds(position)
         ):
-            return httpd.Reply(
+            return httpd.Response(
                 421, headers={**echo, "X-Tamarackgap-Not-Executed": "1"}
             )
         if self.fault == "full":
-            return httpd.Reply(
+            return httpd.Response(
                 503, headers={**echo, "X-Tamarackgap-Not-Executed": "1"}
             )
-        self.begins(self, request, position)
+        self.on_run_started(self, request, position)
         time.sleep(self.work_s)
         with self._lock:
-            self.ran.append((request, position))
-        if self.deadly and query.path.startswith(self.deadly):
+            self.executed_requests.append((request, position))
+        if self.crash_path and query.path.startswith(self.crash_path):
             threading.Thread(target=self.stop, daemon=True).start()
             self._ended.wait(1)
-            return httpd.Reply(None)
+            return httpd.Response(None)
         match self.fault:
             case "cut":
-                return httpd.Reply(None)
+                return httpd.Response(None)
             case "error":
                 status = 500
             case "unsigned":
-                return httpd.Reply(200, b"spoilt", echo)
+                return httpd.Response(200, b"spoilt", echo)
             case _:
                 status = 200
         told = {
@@ -215,7 +217,7 @@
             "left_ms": query.headers.get("x-tamarackgap-timeout-ms"),
             "body": query.body.decode("latin-1"),
         }
-        return httpd.Reply(
+        return httpd.Response(
             status,
             json.dumps(told).encode("utf-8"),
             {**echo, "X-Tamarackgap-Response-Signature": "signed"},
--- a/standins/httpd.py
+++ b/standins/httpd.py
@@ -9,7 +9,7 @@
 import msgspec
 
 
-class Query(msgspec.Struct, frozen=True):
+class Request(msgspec.Struct, frozen=True):
     """A request to a stand-in."""
 
     method: str
@@ -22,7 +22,7 @@
         return json.loads(self.body or b"{}")
 
 
-class Reply(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """A stand-in's answer; without a status the connection is dropped."""
 
     status: int | None
@@ -32,12 +32,12 @@
     length: int | None = None
 
 
-def as_json(value: object, status: int = 200, **headers: str) -> Reply:
+def json_response(value: object, status: int = 200, **headers: str) -> Response:
     """Returns an answer with a JSON body."""
-    return Reply(status, msgspec.json.encode(value), headers)
+    return Response(status, msgspec.json.encode(value), headers)
 
 
-Answer = Callable[[Query], Reply]
+RequestHandler = Callable[[Request], Response]
 
 
 class _Server(socketserver.ThreadingMixIn, http.server.HTTPServer):
@@ -51,7 +51,7 @@
             super().handle_error(request, client_address)
 
 
-def serve(address: str, answer: Answer) -> http.server.HTTPServer:
+def serve(address: str, answer: RequestHandler) -> http.server.HTTPServer:
     """Returns a server bound to `ip:port`; call its `serve_forever`."""
 
     class Handler(http.server.BaseHTTPRequestHandler):
@@ -62,7 +62,7 @@
         def _handle(self) -> None:
             size = int(self.headers.get("Content-Length") or 0)
             headers = {k.lower(): v for k, v in self.headers.items()}
-            query = Query(
+            query = Request(
                 self.command, self.path, headers, self.rfile.read(size)
             )
             reply = answer(query)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -32,7 +32,7 @@
     writes: int = 400
 
 
-class Rate:
+class RateLimiter:
     """Counts requests in each second, against a ceiling."""
 
     def __init__(self) -> None:
@@ -60,65 +60,67 @@
         self.faults = Faults()
         self._objects: dict[str, bytes] = {}
         self._rng = random.Random(seed)
-        self._reads = Rate()
-        self._writes = Rate()
+        self._reads = RateLimiter()
+        self._writes = RateLimiter()
 
-    def answer(self, query: httpd.Query) -> httpd.Reply:
+    def handle_request(self, query: httpd.Request) -> httpd.Response:
         """Answers one request."""
         parts = urllib.parse.urlsplit(query.path)
         if parts.path == "/faults":
             return self._switch(query)
         if parts.path == "/counts":
             counts = {"reads": self.table.reads, "writes": self.table.writes}
-            return httpd.as_json(counts)
+            return httpd.json_response(counts)
         if self.faults.delay:
             time.sleep(self.faults.delay)
         if self.faults.down:
-            return httpd.Reply(None)
+            return httpd.Response(None)
         if parts.path == "/rows":
             return self._read(parts.query)
         if parts.path == "/transactions":
             return self._commit(query.body)
         if parts.path.startswith("/objects"):
             return self._object(query, parts)
-        return httpd.Reply(404)
+        return httpd.Response(404)
 
-    def _switch(self, query: httpd.Query) -> httpd.Reply:
+    def _switch(self, query: httpd.Request) -> httpd.Response:
         known = msgspec.to_builtins(self.faults)
         self.faults = msgspec.convert({**known, **query.json()}, Faults)
-        return httpd.as_json(self.faults)
+        return httpd.json_response(self.faults)
 
-    def _read(self, query: str) -> httpd.Reply:
+    def _read(self, query: str) -> httpd.Response:
         if not self._reads.admit(self.faults.reads):
-            return httpd.Reply(429)
+            return httpd.Response(429)
         since = int(urllib.parse.parse_qs(query).get("since", ["0"])[0])
-        revision, rows = self.table.since(since)
-        return httpd.as_json({"revision": revision, "rows": rows})
+        revision, rows = self.table.rows_since(since)
+        return httpd.json_response({"revision": revision, "rows": rows})
 
-    def _commit(self, body: bytes) -> httpd.Reply:
+    def _commit(self, body: bytes) -> httpd.Response:
         if not self._writes.admit(self.faults.writes):
-            return httpd.Reply(429)
+            return httpd.Response(429)
         transaction = msgspec.json.decode(body, type=records.Transaction)
         committed, rows = self.table.commit(transaction)
         if self._rng.random() < self.faults.lose_answers:
-            return httpd.Reply(None)
+            return httpd.Response(None)
         status = 200 if committed else 409
-        return httpd.as_json({"committed": committed, "rows": rows}, status)
+        return httpd.json_response(
+            {"committed": committed, "rows": rows}, status
+        )
 
     def _object(
-        self, query: httpd.Query, parts: urllib.parse.SplitResult
-    ) -> httpd.Reply:
+        self, query: httpd.Request, parts: urllib.parse.SplitResult
+    ) -> httpd.Response:
         name = parts.path.removeprefix("/objects").lstrip("/")
         if query.method == "PUT":
             self._objects[name] = query.body
-            return httpd.Reply(200)
+            return httpd.Response(200)
         if not name:
             prefix = urllib.parse.parse_qs(parts.query).get("prefix", [""])[0]
             names = sorted(n for n in self._objects if n.startswith(prefix))
-            return httpd.as_json(names)
+            return httpd.json_response(names)
         if name in self._objects:
-            return httpd.Reply(200, self._objects[name])
-        return httpd.Reply(404)
+            return httpd.Response(200, self._objects[name])
+        return httpd.Response(404)
 
 
 @click.command()
@@ -126,7 +128,7 @@
 @click.option("--seed", default=1, help="Seed of the lost answers.")
 def main(listen: str, seed: int) -> None:
     """Runs the platform's stand-in until it is stopped."""
-    httpd.serve(listen, Platform(seed).answer).serve_forever()
+    httpd.serve(listen, Platform(seed).handle_request).serve_forever()
 
 
 if __name__ == "__main__":
--- a/standins/site.py
+++ b/standins/platformcluster.py
@@ -13,9 +13,9 @@
 
 from standins import appserver, httpd, ports, rowstore
 
-PORTS = 6
+PORTS_PER_NODE = 6
 # Moves and new epochs follow each other faster than this.
-QUIET_S = 2.0
+STORE_IDLE_S = 2.0
 LIMITS = {
     "max_header_bytes": 4096,
     "max_body_bytes": 100_000,
@@ -64,7 +64,7 @@
     ).encode("utf-8")
 
 
-USUAL = (
+DEFAULT_RESOURCES = (
     route("browse", "seats.example", "/browse/", "seats"),
     route("book", "seats.example", "/book/", "seats", idempotent=False),
     route("pay", "money.example", "/", "money", idempotent=False),
@@ -73,59 +73,64 @@
 )
 
 
-class Place:
+class Node:
     """One VM: a server and the daemon beside it."""
 
-    def __init__(self, site, name, service_name, keyed):
-        self.site = site
+    def __init__(self, cluster, name, service_name, keyed):
+        self.cluster = cluster
         self.name = name
         self.service = service_name
         self.keyed = keyed
-        base = ports.free_ports(PORTS, site.next_port())
-        site.used(base + PORTS)
-        own = [f"127.0.0.1:{base + index}" for index in range(PORTS)]
-        self.callers, self.peers, self.control, self.ready = own[:4]
-        self.app, self.metrics = own[4:]
+        base = ports.free_ports(PORTS_PER_NODE, cluster.next_port())
+        cluster.reserve_ports_below(base + PORTS_PER_NODE)
+        own = [f"127.0.0.1:{base + index}" for index in range(PORTS_PER_NODE)]
+        (
+            self.caller_address,
+            self.peer_address,
+            self.announce_address,
+            self.ready_address,
+        ) = own[:4]
+        self.server_address, self.metrics_address = own[4:]
         # Where the daemon finds the store and its target.
-        self.store = site.store_address
-        self.target = self.app
-        self.lives = 0
+        self.store_address = cluster.store_address
+        self.target_address = self.server_address
+        self.server_incarnation = 0
         self.server = None
         self.process = None
-        self.log = site.folder / f"{name}.log"
+        self.log = cluster.folder / f"{name}.log"
 
     def start_server(self):
         """Starts the next life of the server."""
-        self.lives += 1
+        self.server_incarnation += 1
         self.server = appserver.AppServer(
-            f"{self.name}-{self.lives}",
+            f"{self.name}-{self.server_incarnation}",
             self.service,
-            self.app,
-            self.control,
+            self.server_address,
+            self.announce_address,
             self.keyed,
         )
         self.server.start()
 
     def start(self):
         """Starts the daemon."""
-        settings = self.site.folder / f"{self.name}.ini"
+        settings = self.cluster.folder / f"{self.name}.ini"
         settings.write_text(
             f"""[daemon]
 deployment = test
 name = {self.name}
 service = {self.service}
 data_centre = {self.name}
-http_address = {self.callers}
-peer_address = {self.peers}
+http_address = {self.caller_address}
+peer_address = {self.peer_address}
 log = stdout
 [router]
-announce_address = {self.control}
-ready_address = {self.ready}
-metrics_address = {self.metrics}
-target_address = {self.target}
+announce_address = {self.announce_address}
+ready_address = {self.ready_address}
+metrics_address = {self.metrics_address}
+target_address = {self.target_address}
 announce_interval = 200
 [table]
-address = {self.store}
+address = {self.store_address}
 [ownership]
 lease = 1000
 settle = 500
@@ -149,88 +154,94 @@
     def is_ready(self):
         """Returns whether the daemon says that it is ready."""
         with contextlib.suppress(OSError):
-            return ask(self.ready, "GET", "/-/readiness")[0] == 200
+            return (
+                send_request(self.ready_address, "GET", "/-/readiness")[0]
+                == 200
+            )
         return False
 
-    def lines(self, event):
+    def log_lines(self, event):
         """Returns the daemon's log lines of one event."""
         text = self.log.read_text()
         return [line for line in text.splitlines() if f"event={event} " in line]
 
 
-class Site:
-    """A store and some places."""
+class PlatformCluster:
+    """A store and some nodes."""
 
-    def __init__(self, folder, places):
+    def __init__(self, folder, nodes):
         self.folder = folder
         self._port = 25_000
         self.store = rowstore.RowStore()
         port = ports.free_ports(1, self.next_port())
-        self.used(port + 1)
+        self.reserve_ports_below(port + 1)
         self.store_address = f"127.0.0.1:{port}"
-        self._server = httpd.serve(self.store_address, self.store.answer)
+        self._server = httpd.serve(
+            self.store_address, self.store.handle_request
+        )
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
-        self.places = [Place(self, *place) for place in places]
+        self.nodes = [Node(self, *node) for node in nodes]
 
-    def works(self):
+    def serves_all_routes(self):
         """Returns whether all daemons are ready and serve everything."""
-        if not all(place.is_ready() for place in self.places):
+        if not all(node.is_ready() for node in self.nodes):
             return False
         return all(
-            call(place, "money.example", "/pay", key=key)[0] == 200
-            for place in self.places
+            send_caller_request(node, "money.example", "/pay", key=key)[0]
+            == 200
+            for node in self.nodes
             for key in (0, 20_000, 40_000, 65_535)
         ) and all(
-            call(place, "seats.example", "/browse/x")[0] == 200
-            for place in self.places
+            send_caller_request(node, "seats.example", "/browse/x")[0] == 200
+            for node in self.nodes
         )
 
-    def is_quiet(self):
+    def is_store_idle(self):
         """Returns whether nothing has been written for a while."""
-        count = self.store.writes
-        time.sleep(QUIET_S)
-        return self.store.writes == count
+        count = self.store.committed_transactions
+        time.sleep(STORE_IDLE_S)
+        return self.store.committed_transactions == count
 
     def next_port(self):
         """Returns the first port that may be free."""
         return self._port
 
-    def used(self, port):
+    def reserve_ports_below(self, port):
         """Notes that all ports below one are taken."""
         self._port = port
 
     def start(self):
         """Starts all servers and daemons."""
-        self.store.put("op", "config", configuration(1, *USUAL))
-        for place in self.places:
-            place.start_server()
-            place.start()
+        self.store.put("op", "config", configuration(1, *DEFAULT_RESOURCES))
+        for node in self.nodes:
+            node.start_server()
+            node.start()
 
     def stop(self):
         """Ends everything that was started here."""
-        for place in self.places:
-            if place.process is not None and place.process.poll() is None:
-                place.kill()
-            if place.server is not None:
-                place.server.stop()
+        for node in self.nodes:
+            if node.process is not None and node.process.poll() is None:
+                node.kill()
+            if node.server is not None:
+                node.server.stop()
         self._server.shutdown()
         self._server.server_close()
 
 
 @contextlib.contextmanager
-def running(folder, places, ready_s):
-    """Runs a site; raises TimeoutError if it does not work in time."""
-    found = Site(folder, places)
+def run_cluster(folder, nodes, ready_s):
+    """Runs a cluster; raises TimeoutError if it does not work in time."""
+    found = PlatformCluster(folder, nodes)
     found.start()
     try:
-        if not wait(ready_s, found.works):
-            raise TimeoutError("the site does not serve everything")
+        if not wait_until(ready_s, found.serves_all_routes):
+            raise TimeoutError("the cluster does not serve everything")
         yield found
     finally:
         found.stop()
 
 
-def ask(address, method, path, headers=None, body=None, timeout=5):
+def send_request(address, method, path, headers=None, body=None, timeout=5):
     """Returns status, headers and body of a request."""
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
@@ -244,7 +255,9 @@
 _ids = itertools.count(1)
 
 
-def call(place, host, path, key=None, method="GET", body=None, timeout_ms=1500):
+def send_caller_request(
+    node, host, path, key=None, method="GET", body=None, timeout_ms=1500
+):
     """Returns status, headers, body and id of a client's request."""
     request = f"r{next(_ids):06d}"
     headers = {
@@ -255,12 +268,12 @@
     if key is not None:
         headers["X-Tamarackgap-Shard-Key"] = str(key)
     return (
-        *ask(place.callers, method, path, headers, body),
+        *send_request(node.caller_address, method, path, headers, body),
         request,
     )
 
 
-def wait(seconds, condition):
+def wait_until(seconds, condition):
     """Returns whether a condition came to hold in time."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -23,12 +23,12 @@
         self._changed = threading.Condition()
         self._begun = time.monotonic()
         # Answers every call with this status while it is set.
-        self.failing: int | None = None
+        self.failure_status: int | None = None
         # Answers nothing while it is set.
-        self.silent = False
-        self.calls: dict[str, int] = {}
+        self.is_unresponsive = False
+        self.call_counts: dict[str, int] = {}
         # Transactions that were carried out.
-        self.writes = 0
+        self.committed_transactions = 0
 
     def put(self, table: str, key: str, value: bytes) -> None:
         """Writes a row as the operator does."""
@@ -55,14 +55,14 @@
         with self._changed:
             return sorted(key for name, _, key in self._rows if name == table)
 
-    def answer(self, query: httpd.Query) -> httpd.Reply:
+    def handle_request(self, query: httpd.Request) -> httpd.Response:
         """Answers a call."""
         path, _, arguments = query.path.partition("?")
-        self.calls[path] = self.calls.get(path, 0) + 1
-        while self.silent:
+        self.call_counts[path] = self.call_counts.get(path, 0) + 1
+        while self.is_unresponsive:
             time.sleep(_SILENT_STEP_S)
-        if self.failing is not None:
-            return httpd.Reply(self.failing)
+        if self.failure_status is not None:
+            return httpd.Response(self.failure_status)
         fields = dict(urllib.parse.parse_qsl(arguments, keep_blank_values=True))
         match (query.method, path):
             case ("POST", "/-/rows-tx"):
@@ -71,7 +71,7 @@
                 return self._get(fields)
             case ("GET", "/-/rows-feed"):
                 return self._feed(fields)
-        return httpd.Reply(404)
+        return httpd.Response(404)
 
     def _stamps(self) -> dict[str, int]:
         passed = time.monotonic() - self._begun
@@ -92,7 +92,7 @@
         self._rows[table, part, key] = (value, self._version)
         self._changes.append(self._row((table, part, key)))
 
-    def _transact(self, body: dict) -> httpd.Reply:
+    def _transact(self, body: dict) -> httpd.Response:
         with self._changed:
             current = []
             holds = True
@@ -105,7 +105,7 @@
             if not holds:
                 return _reply(412, rows=current, **self._stamps())
             self._version += 1
-            self.writes += 1
+            self.committed_transactions += 1
             for entry in body.get("put", []):
                 self._write(
                     entry["table"], entry["part"], entry["key"], entry["value"]
@@ -123,7 +123,7 @@
             self._changed.notify_all()
             return _reply(200, **self._stamps())
 
-    def _get(self, fields: dict[str, str]) -> httpd.Reply:
+    def _get(self, fields: dict[str, str]) -> httpd.Response:
         limit = min(int(fields.get("limit", _PAGE)), _PAGE)
         with self._changed:
             places = sorted(
@@ -136,7 +136,7 @@
             more = len(places) > limit
             return _reply(200, rows=rows, has_more=more, **self._stamps())
 
-    def _feed(self, fields: dict[str, str]) -> httpd.Reply:
+    def _feed(self, fields: dict[str, str]) -> httpd.Response:
         after = int(fields["after"])
         until = time.monotonic() + int(fields["wait_ms"]) / 1000
         with self._changed:
@@ -155,5 +155,5 @@
                 self._changed.wait(left)
 
 
-def _reply(status: int, **body: object) -> httpd.Reply:
-    return httpd.Reply(status, json.dumps(body).encode("utf-8"))
+def _reply(status: int, **body: object) -> httpd.Response:
+    return httpd.Response(status, json.dumps(body).encode("utf-8"))
--- a/standins/table.py
+++ b/standins/table.py
@@ -40,7 +40,7 @@
             ]
             return holds, rows
 
-    def since(self, revision: int) -> tuple[int, list[records.Row]]:
+    def rows_since(self, revision: int) -> tuple[int, list[records.Row]]:
         """Returns the revision now, and all rows changed after `revision`."""
         with self._lock:
             self.reads += 1
--- a/standins/target.py
+++ b/standins/target.py
@@ -38,7 +38,7 @@
     extra_s: float = 0.0
 
 
-class Run(msgspec.Struct, frozen=True):
+class RunRecord(msgspec.Struct, frozen=True):
     """One operation that took effect.
 
     Attributes:
@@ -99,41 +99,41 @@
         self._counts: dict[str, int] = {}
         self._rng = random.Random(announcement.name)
 
-    def answer(self, query: httpd.Query) -> httpd.Reply:
+    def handle_request(self, query: httpd.Request) -> httpd.Response:
         """Answers one request."""
         path = query.path
         if path == "/grant":
             return self._grant(query)
         if path.startswith("/cancel/"):
             self._cancelled.add(path.removeprefix("/cancel/"))
-            return httpd.Reply(200)
+            return httpd.Response(200)
         if path == "/health":
-            return httpd.as_json({"health": self.faults.health})
+            return httpd.json_response({"health": self.faults.health})
         if path == "/load":
             load = self.faults.load
-            return httpd.as_json(
+            return httpd.json_response(
                 {"in_progress": self._running if load is None else load}
             )
         if path == "/faults":
             known = msgspec.to_builtins(self.faults)
             self.faults = msgspec.convert({**known, **query.json()}, Faults)
-            return httpd.as_json(self.faults)
+            return httpd.json_response(self.faults)
         if path == "/leave":
             self.announcement = msgspec.structs.replace(
                 self.announcement, leaving=True
             )
-            return httpd.Reply(200)
+            return httpd.Response(200)
         return self._run(query)
 
-    def _grant(self, query: httpd.Query) -> httpd.Reply:
+    def _grant(self, query: httpd.Request) -> httpd.Response:
         grant = msgspec.json.decode(query.body, type=targetclient.Grant)
         with self._lock:
             self._granted = slots.expand(grant.runs)
             self._granted_until = grant.until
             self._granted_owner = grant.owner
-        return httpd.Reply(200)
+        return httpd.Response(200)
 
-    def _run(self, query: httpd.Query) -> httpd.Reply:
+    def _run(self, query: httpd.Request) -> httpd.Response:
         with self._lock:
             full = self._running >= self.announcement.slots
             if full or self.faults.shed:
@@ -145,7 +145,7 @@
             with self._lock:
                 self._running -= 1
 
-    def _work(self, query: httpd.Query) -> httpd.Reply:
+    def _work(self, query: httpd.Request) -> httpd.Response:
         headers = query.headers
         slot = int(headers["x-slot"])
         fence = int(headers["x-fence"])
@@ -192,17 +192,17 @@
 
     def _take_effect(
         self,
-        query: httpd.Query,
+        query: httpd.Request,
         slot: int,
         fence: int,
         begun: float,
         now: float,
-    ) -> httpd.Reply:
+    ) -> httpd.Response:
         headers = query.headers
         key = bytes.fromhex(headers["x-key"]).decode("utf-8")
         self._fences[slot] = max(fence, self._fences.get(slot, 0))
         self._counts[key] = self._counts.get(key, 0) + 1
-        done = Run(
+        done = RunRecord(
             request=headers["x-request-id"],
             run=headers["x-run-id"],
             key=key,
@@ -228,10 +228,10 @@
             }
         )
         if self.faults.truncate:
-            return httpd.Reply(200, body[: len(body) // 2], length=len(body))
-        return httpd.Reply(200, body)
+            return httpd.Response(200, body[: len(body) // 2], length=len(body))
+        return httpd.Response(200, body)
 
-    def announce(self, daemon: str, stop: threading.Event) -> None:
+    def send_announcements(self, daemon: str, stop: threading.Event) -> None:
         """Announces itself to the daemon beside it, twice a second."""
         host, _, port = daemon.rpartition(":")
         while not stop.wait(0.5):
@@ -247,9 +247,9 @@
                 continue
 
 
-def _not_run(why: str) -> httpd.Reply:
+def _not_run(why: str) -> httpd.Response:
     body = json.dumps({"not_run": why}).encode()
-    return httpd.Reply(503, body, {"X-Not-Run": why})
+    return httpd.Response(503, body, {"X-Not-Run": why})
 
 
 @click.command()
@@ -280,10 +280,10 @@
         name, service, listen, slots, connections, checks_grants
     )
     state = Target(announcement, log, work_ms, cold_s)
-    server = httpd.serve(listen, state.answer)
+    server = httpd.serve(listen, state.handle_request)
     stop = threading.Event()
     threading.Thread(
-        target=state.announce, args=(daemon, stop), daemon=True
+        target=state.send_announcements, args=(daemon, stop), daemon=True
     ).start()
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     server.serve_forever()
--- a/tamarackgap/commands/cmdline.py
+++ b/tamarackgap/commands/cmdline.py
@@ -109,7 +109,7 @@
 def debug(path: pathlib.Path | None, as_json: bool) -> None:
     """Print what the program knows of its surroundings."""
     settings = _settings(path) if path is not None else None
-    known = env.surroundings(settings)
+    known = env.describe_environment(settings)
     lines = [
         f"{name}: {value}"
         for name, value in msgspec.structs.asdict(known).items()
@@ -123,7 +123,7 @@
 
 def _page(address: str, path: str) -> bytes:
     try:
-        status, body = control.ask(address, "GET", path)
+        status, body = control.send_request(address, "GET", path)
     except OSError as error:
         _fail(f"daemon {address}: {error}", _EXIT_UNREACHABLE)
     if status != 200:
@@ -216,7 +216,7 @@
     """Show and edit the operators' table of weights and limits."""
 
 
-class Line(msgspec.Struct, frozen=True):
+class PolicyRow(msgspec.Struct, frozen=True):
     """One row of the operators' table, with its version."""
 
     service: str
@@ -249,7 +249,7 @@
         ).partition("/")
         found = msgspec.json.decode(row.value, type=records.Policy)
         lines.append(
-            Line(
+            PolicyRow(
                 service,
                 place,
                 row.revision,
@@ -325,18 +325,18 @@
     as_json: bool,
 ) -> None:
     """Edit the row of SERVICE in DATA_CENTRE ('*' for any)."""
-    match policy.parse(list(columns)):
+    match policy.parse_columns(list(columns)):
         case result.Failure(problem):
             _fail(str(problem), _EXIT_USAGE)
         case result.Success(values):
             pass
     rows = _read(address)
-    if control.find(rows, records.service_key(service)) is None:
+    if control.find_row(rows, records.service_key(service)) is None:
         _fail(f"{service}: no such service", _EXIT_USAGE)
     key = records.policy_key(service, data_centre)
     try:
         revision = control.set_policy(address, key, values, who, version)
-        state = control.wait_in_force(address, revision, wait, _progress)
+        state = control.wait_until_in_force(address, revision, wait, _progress)
     except exceptions.ConflictError as error:
         _fail(str(error), _EXIT_CONFLICT)
     except exceptions.TableError as error:
@@ -351,7 +351,7 @@
         raise SystemExit(_EXIT_NOT_EVERYWHERE)
 
 
-def _progress(state: control.InForce) -> None:
+def _progress(state: control.Propagation) -> None:
     click.echo(
         f"in force at {state.applied} of {state.daemons} daemons", err=True
     )
--- a/tamarackgap/commands/control.py
+++ b/tamarackgap/commands/control.py
@@ -18,7 +18,7 @@
 _AGAIN_S = 0.2
 
 
-class InForce(msgspec.Struct, frozen=True):
+class Propagation(msgspec.Struct, frozen=True):
     """How far an edit has come.
 
     Attributes:
@@ -37,7 +37,7 @@
         return self.applied == self.daemons
 
 
-def ask(
+def send_request(
     address: str,
     method: str,
     path: str,
@@ -68,7 +68,7 @@
         exceptions.TableError: If the table does not answer.
     """
     try:
-        status, body = ask(address, "GET", "/rows?since=0")
+        status, body = send_request(address, "GET", "/rows?since=0")
     except OSError as error:
         raise exceptions.TableError(f"table {address}: {error}") from error
     if status != 200:
@@ -76,7 +76,7 @@
     return msgspec.json.decode(body, type=tableclient.Changes)
 
 
-def find(rows: list[records.Row], key: str) -> records.Row | None:
+def find_row(rows: list[records.Row], key: str) -> records.Row | None:
     """Returns the row with a key, or None."""
     return next((row for row in rows if row.key == key), None)
 
@@ -105,14 +105,14 @@
         exceptions.ConflictError: If somebody else has edited the row.
         exceptions.TableError: If the outcome can't be learnt.
     """
-    row = find(read_rows(address).rows, key)
+    row = find_row(read_rows(address).rows, key)
     present = row.revision if row is not None and row.value else 0
     if expected is not None and present != expected:
         raise exceptions.ConflictError(
             f"{key} is at version {present}, not {expected}:"
             " somebody else edited it"
         )
-    edit = policy.edit(row, key, values, who, int(time.time() * 1000))
+    edit = policy.build_edit(row, key, values, who, int(time.time() * 1000))
     body = msgspec.json.encode(edit.transaction)
     give_up = time.monotonic() + 2 * _TIMEOUT_S
     while time.monotonic() < give_up:
@@ -128,7 +128,7 @@
 
 def _put(address: str, body: bytes) -> int:
     try:
-        return ask(address, "POST", "/transactions", body)[0]
+        return send_request(address, "POST", "/transactions", body)[0]
     except OSError:
         return 0
 
@@ -136,7 +136,7 @@
 def _landed(address: str, edit: policy.Edit) -> int:
     """Returns the edit's revision, or raises if it lost against another."""
     rows = read_rows(address).rows
-    written = find(rows, edit.transaction.writes[1].key)
+    written = find_row(rows, edit.transaction.writes[1].key)
     if written is None:
         raise exceptions.ConflictError(
             f"{edit.key}: somebody else edited it; nothing was changed"
@@ -144,7 +144,7 @@
     return written.revision
 
 
-def leases(rows: list[records.Row]) -> list[records.LeaseRecord]:
+def open_leases(rows: list[records.Row]) -> list[records.LeaseRecord]:
     """Returns all open lease records among rows."""
     found = [
         msgspec.json.decode(row.value, type=records.LeaseRecord)
@@ -154,9 +154,9 @@
     return [record for record in found if record.is_open]
 
 
-def in_force(address: str, revision: int) -> InForce:
+def query_propagation(address: str, revision: int) -> Propagation:
     """Asks every daemon whether it has read up to a revision."""
-    members = leases(read_rows(address).rows)
+    members = open_leases(read_rows(address).rows)
     applied = 0
     for record in members:
         try:
@@ -164,19 +164,19 @@
         except OSError:
             continue
         applied += status.table_revision >= revision
-    return InForce(revision, len(members), applied)
+    return Propagation(revision, len(members), applied)
 
 
-def wait_in_force(
+def wait_until_in_force(
     address: str,
     revision: int,
     seconds: float,
-    progress: Callable[[InForce], None],
-) -> InForce:
+    progress: Callable[[Propagation], None],
+) -> Propagation:
     """Waits until an edit is in force everywhere, or time is up."""
     give_up = time.monotonic() + seconds
     while True:
-        state = in_force(address, revision)
+        state = query_propagation(address, revision)
         progress(state)
         if state.everywhere or time.monotonic() >= give_up:
             return state
@@ -189,7 +189,7 @@
     Raises:
         OSError: If it does not answer.
     """
-    _, body = ask(address, "GET", "/status", timeout=_DAEMON_TIMEOUT_S)
+    _, body = send_request(address, "GET", "/status", timeout=_DAEMON_TIMEOUT_S)
     return msgspec.json.decode(body, type=pages.Status)
 
 
--- a/tamarackgap/commands/env.py
+++ b/tamarackgap/commands/env.py
@@ -24,7 +24,7 @@
 )
 
 
-class Surroundings(msgspec.Struct, frozen=True):
+class Environment(msgspec.Struct, frozen=True):
     """Facts about program, machine and settings.
 
     Attributes:
@@ -53,10 +53,10 @@
         return "missing"
 
 
-def surroundings(settings: config.Config | None) -> Surroundings:
+def describe_environment(settings: config.Config | None) -> Environment:
     """Returns what is known here."""
     values = msgspec.to_builtins(settings) if settings is not None else {}
-    return Surroundings(
+    return Environment(
         version=tamarackgap.__version__,
         python=sys.version.split()[0],
         system=f"{platform.system()} {platform.release()}",
--- a/tamarackgap/commands/policy.py
+++ b/tamarackgap/commands/policy.py
@@ -7,28 +7,28 @@
 
 from tamarackgap.placement import records
 
-ANY_PLACE = "*"
+ANY_DATA_CENTRE = "*"
 
 
-class Bound(msgspec.Struct, frozen=True):
+class Column(msgspec.Struct, frozen=True):
     """Bounds of one column of the operators' table."""
 
-    low: int
-    high: int
+    minimum: int
+    maximum: int
     unit: str
     help: str
 
 
-COLUMNS: dict[str, Bound] = {
-    "weight": Bound(0, 1000, "shares", "share of the slots; 0 empties"),
-    "in_progress": Bound(
+COLUMNS: dict[str, Column] = {
+    "weight": Column(0, 1000, "shares", "share of the slots; 0 empties"),
+    "in_progress": Column(
         0, 100_000, "requests", "most at one target; 0: as it announces"
     ),
-    "queue": Bound(0, 1_000_000, "requests", "most waiting at one owner"),
-    "tolerance": Bound(
+    "queue": Column(0, 1_000_000, "requests", "most waiting at one owner"),
+    "tolerance": Column(
         1, 100, "percent", "load above its share that makes a daemon give"
     ),
-    "moves": Bound(
+    "moves": Column(
         0, 100_000, "slots", "most given away in a minute to even out"
     ),
 }
@@ -50,7 +50,7 @@
     transaction: records.Transaction
 
 
-def parse(texts: list[str]) -> result.Result[dict[str, int], str]:
+def parse_columns(texts: list[str]) -> result.Result[dict[str, int], str]:
     """Returns the columns in `COLUMN=NUMBER` texts, or what is wrong."""
     values: dict[str, int] = {}
     for text in texts:
@@ -59,12 +59,14 @@
         if bound is None:
             names = ", ".join(COLUMNS)
             return result.Failure(f"{text}: expected one of {names}")
-        expected = f"{name}: expected {bound.low} to {bound.high} {bound.unit}"
+        expected = (
+            f"{name}: expected {bound.minimum} to {bound.maximum} {bound.unit}"
+        )
         try:
             value = int(number)
         except ValueError:
             return result.Failure(f"{expected}, not {number!r}")
-        if not bound.low <= value <= bound.high:
+        if not bound.minimum <= value <= bound.maximum:
             return result.Failure(f"{expected}, not {value}")
         values[name] = value
     if not values:
@@ -72,7 +74,7 @@
     return result.Success(values)
 
 
-def edit(
+def build_edit(
     row: records.Row | None,
     key: str,
     values: dict[str, int],
--- a/tamarackgap/network/httpclient.py
+++ b/tamarackgap/network/httpclient.py
@@ -40,8 +40,8 @@
         path: Path and query.
         headers: Headers besides those about connection and length.
         body: The body.
-        timeout: Longest wait for the whole answer, seconds.
-        limit: Largest answer body, bytes.
+        timeout_s: Longest wait for the whole answer, seconds.
+        max_answer_bytes: Largest answer body, bytes.
     """
 
     address: str
@@ -49,11 +49,11 @@
     path: str
     headers: dict[str, str]
     body: bytes
-    timeout: float
-    limit: int
+    timeout_s: float
+    max_answer_bytes: int
 
 
-Done = Callable[[result.Result[Answer, exchanges.Failure]], None]
+DoneCallback = Callable[[result.Result[Answer, exchanges.Failure]], None]
 
 
 class Exchange(exchanges.Exchange):
@@ -61,7 +61,7 @@
 
     __slots__ = ("connection", "request")
 
-    def __init__(self, request: Request, done: Done) -> None:
+    def __init__(self, request: Request, done: DoneCallback) -> None:
         """Creates an exchange that calls `done` once."""
         super().__init__(done)
         self.request = request
@@ -117,7 +117,7 @@
             collections.defaultdict(collections.deque)
         )
 
-    def send(self, request: Request, done: Done) -> Exchange:
+    def send(self, request: Request, done: DoneCallback) -> Exchange:
         """Sends a request.
 
         Args:
@@ -130,7 +130,7 @@
         """
         exchange = Exchange(request, done)
         exchange.timer = self._timers.after(
-            request.timeout,
+            request.timeout_s,
             lambda: self._fail(exchange, exchanges.Cause.TIMEOUT),
         )
         connection = self._take(request.address)
@@ -263,7 +263,7 @@
     def _feed(self, connection: _Connection, data: bytes) -> None:
         parser = connection.parser
         connection.received += len(data)
-        if connection.received > connection.exchange.request.limit:
+        if connection.received > connection.exchange.request.max_answer_bytes:
             self._lose(connection, exchanges.Cause.TOO_LARGE)
             return
         try:
--- a/tamarackgap/network/httplink.py
+++ b/tamarackgap/network/httppool.py
@@ -34,28 +34,30 @@
         return None
 
 
-Done = Callable[[result.Result[Answer, exchanges.Failure]], None]
+DoneCallback = Callable[[result.Result[Answer, exchanges.Failure]], None]
 # Tells whether an answer belongs to the request that was sent.
-Belongs = Callable[[Answer], bool]
+AnswerCheck = Callable[[Answer], bool]
 # Returns a request's bytes when they are about to be written; none where it
 # must not be sent any more.
-Build = Callable[[], bytes]
+RequestBuilder = Callable[[], bytes]
 
 
 class Exchange(exchanges.Exchange):
     """A request, its bytes and the test of its answer."""
 
-    __slots__ = ("belongs", "build", "connection")
+    __slots__ = ("is_answer", "build", "connection")
 
-    def __init__(self, build: Build, done: Done, belongs: Belongs) -> None:
+    def __init__(
+        self, build: RequestBuilder, done: DoneCallback, is_answer: AnswerCheck
+    ) -> None:
         """Creates an exchange that calls `done` once."""
         super().__init__(done)
         self.build = build
-        self.belongs = belongs
+        self.is_answer = is_answer
         self.connection: _Connection | None = None
 
 
-class Link:
+class ConnectionPool:
     """All connections to one address."""
 
     def __init__(
@@ -63,8 +65,8 @@
         poller: sockets.Poller,
         timers: scheduler.Scheduler,
         address: str,
-        idle_s: float,
-        silence_ms: int,
+        idle_timeout_s: float,
+        unacked_timeout_ms: int,
     ) -> None:
         """Creates a link without connections.
 
@@ -72,23 +74,23 @@
             poller: The loop's poller.
             timers: The loop's scheduler.
             address: `ip:port`.
-            idle_s: Connections idle for longer are not used again, seconds.
-            silence_ms: Unacknowledged bytes break a connection after this.
+            idle_timeout_s: Longest idle time of a connection that is reused.
+            unacked_timeout_ms: TCP_USER_TIMEOUT of each connection.
         """
         self.poller = poller
         self.timers = timers
         self.address = address
-        self.idle_s = idle_s
-        self._silence_ms = silence_ms
+        self.idle_timeout_s = idle_timeout_s
+        self._unacked_timeout_ms = unacked_timeout_ms
         self._idle: list[_Connection] = []
         self._open: set[_Connection] = set()
 
     def send(
         self,
-        build: Build,
+        build: RequestBuilder,
         timeout: float,
-        done: Done,
-        belongs: Belongs = lambda answer: True,
+        done: DoneCallback,
+        is_answer: AnswerCheck = lambda answer: True,
     ) -> Exchange:
         """Sends a whole request.
 
@@ -97,12 +99,12 @@
             timeout: Longest wait for the whole answer, seconds.
             done: Called once with the answer or the failure; perhaps before
                 this returns.
-            belongs: Answers for which it is false are skipped.
+            is_answer: Answers for which it is false are skipped.
 
         Returns:
             The exchange, for `cancel`.
         """
-        exchange = Exchange(build, done, belongs)
+        exchange = Exchange(build, done, is_answer)
         connection = self._take() or self._connect()
         if connection is None:
             exchange.finish(
@@ -147,7 +149,7 @@
         return None
 
     def _connect(self) -> "_Connection | None":
-        sock = sockets.connect(self.address, self._silence_ms)
+        sock = sockets.connect(self.address, self._unacked_timeout_ms)
         if sock is None:
             return None
         connection = _Connection(self, sock)
@@ -164,7 +166,7 @@
 class _Connection:
     """One connection, with at most one exchange."""
 
-    def __init__(self, link: Link, sock: socket.socket) -> None:
+    def __init__(self, link: ConnectionPool, sock: socket.socket) -> None:
         self._link = link
         self._sock = sock
         self._descriptor = sock.fileno()
@@ -227,18 +229,18 @@
     def _ready(self, flags: int) -> None:
         if flags & sockets.WRITABLE:
             was_connected = self._writer.connected
-            if not self._writer.writable():
+            if not self._writer.handle_writable():
                 self.lose(self._cause())
                 return
             if not was_connected and self._exchange is not None:
                 self._write()
         if self._closed:
             return
-        if flags & (sockets.READABLE | sockets.BROKEN):
+        if flags & (sockets.READABLE | sockets.ERROR_OR_HANGUP):
             self._read()
 
     def _cause(self) -> exchanges.Cause:
-        if self._writer.refused:
+        if self._writer.connection_refused:
             return exchanges.Cause.REFUSED
         if not self._writer.connected:
             return exchanges.Cause.UNREACHABLE
@@ -300,7 +302,7 @@
         answer = Answer(
             self._parser.get_status_code(), self._headers, b"".join(self._body)
         )
-        if not exchange.belongs(answer):
+        if not exchange.is_answer(answer):
             logs.event("late_answer_skipped", address=self._link.address)
             self._odd = True
             return
@@ -317,8 +319,10 @@
                 name, _, value = part.strip().partition(b"=")
                 if name.lower() == b"timeout" and value.isdigit():
                     # The other side may close a moment before its time.
-                    return min(self._link.idle_s, max(0.0, int(value) - 1.0))
-        return self._link.idle_s
+                    return min(
+                        self._link.idle_timeout_s, max(0.0, int(value) - 1.0)
+                    )
+        return self._link.idle_timeout_s
 
     def _settle(self) -> None:
         """Keeps the connection for another request, or closes it."""
@@ -355,6 +359,6 @@
         if self._closed:
             return
         self._closed = True
-        self._link.poller.forget(self._descriptor)
+        self._link.poller.unwatch(self._descriptor)
         self._link.discard(self)
         self._sock.close()
--- a/tamarackgap/network/door.py
+++ b/tamarackgap/network/httpserver.py
@@ -37,26 +37,26 @@
     """Bounds on what a caller may send.
 
     Attributes:
-        header_bytes: Largest head of a request, bytes.
-        body_bytes: Largest body, bytes.
-        request_s: Longest time for a whole request to come in, seconds.
-        idle_s: Longest time without a request on a connection, seconds.
+        max_header_bytes: Largest head of a request, bytes.
+        max_body_bytes: Largest body, bytes.
+        request_timeout_s: Longest time for a whole request to come in, seconds.
+        idle_timeout_s: Longest time without a request on a connection, seconds.
     """
 
-    header_bytes: int = 16_384
-    body_bytes: int = 67_108_864
-    request_s: float = 3.0
-    idle_s: float = 15.0
+    max_header_bytes: int = 16_384
+    max_body_bytes: int = 67_108_864
+    request_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
-class Incoming:
+class IncomingRequest:
     """A request that has been read whole, and the way to answer it."""
 
     __slots__ = (
         "_connection",
-        "begun",
+        "received_at",
         "body",
-        "gone",
+        "on_disconnect",
         "headers",
         "method",
         "target",
@@ -65,32 +65,32 @@
     def __init__(
         self,
         connection: "_Connection",
-        begun: float,
+        received_at: float,
         method: str,
         target: str,
         headers: Headers,
         body: bytes,
     ) -> None:
-        """Creates a request of `connection` whose first byte came `begun`."""
+        """Creates a request that was read from `connection`."""
         self._connection = connection
-        self.begun = begun
+        self.received_at = received_at
         self.method = method
         self.target = target
         self.headers = headers
         self.body = body
         # Called if the caller closes its connection before the answer.
-        self.gone: Callable[[], None] | None = None
+        self.on_disconnect: Callable[[], None] | None = None
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Sends the answer; once only."""
-        self.gone = None
-        self._connection.answer(status, headers, body)
+        self.on_disconnect = None
+        self._connection.respond(status, headers, body)
 
 
-Serve = Callable[[Incoming], None]
+RequestHandler = Callable[[IncomingRequest], None]
 
 
-class Door:
+class HttpServer:
     """Accepts callers' connections at one address."""
 
     def __init__(
@@ -98,7 +98,7 @@
         poller: sockets.Poller,
         timers: scheduler.Scheduler,
         address: str,
-        serve: Serve,
+        serve: RequestHandler,
     ) -> None:
         """Binds to `address`.
 
@@ -116,7 +116,7 @@
         self.serve = serve
         self.limits = Limits()
         # Whether each answer asks the caller to use another connection.
-        self.leaving = False
+        self.draining = False
         self._connections: set[_Connection] = set()
         self._socket = sockets.listen(address, _BACKLOG)
         poller.watch(self._socket.fileno(), sockets.READABLE, self._accept)
@@ -139,7 +139,7 @@
 
     def close(self) -> None:
         """Stops listening, and closes connections without a request."""
-        self.poller.forget(self._socket.fileno())
+        self.poller.unwatch(self._socket.fileno())
         self._socket.close()
         for connection in list(self._connections):
             if not connection.is_busy:
@@ -172,14 +172,14 @@
 class _Connection:
     """One caller's connection; its requests are served one by one."""
 
-    def __init__(self, door: Door, sock: socket.socket) -> None:
+    def __init__(self, door: HttpServer, sock: socket.socket) -> None:
         self._door = door
         self._sock = sock
         self._descriptor = sock.fileno()
         self._writer = sockets.Writer(door.poller, sock, True)
         self._parser = httptools.HttpRequestParser(self)
-        self._waiting: list[Incoming] = []
-        self._current: Incoming | None = None
+        self._waiting: list[IncomingRequest] = []
+        self._current: IncomingRequest | None = None
         self._broken = 0
         self._closing = False
         self._closed = False
@@ -212,7 +212,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._size += len(name) + len(value) + 4
-        if self._size > self._door.limits.header_bytes:
+        if self._size > self._door.limits.max_header_bytes:
             self._broken = self._broken or 431
         self._headers.append((name.lower(), value))
 
@@ -221,7 +221,7 @@
 
     def on_body(self, body: bytes) -> None:
         self._size += len(body)
-        if self._size > self._door.limits.body_bytes:
+        if self._size > self._door.limits.max_body_bytes:
             self._broken = self._broken or 413
             return
         self._body.append(body)
@@ -231,7 +231,7 @@
         if self._broken:
             return
         self._keep = self._parser.should_keep_alive()
-        incoming = Incoming(
+        incoming = IncomingRequest(
             self,
             self._at,
             self._parser.get_method().decode("ascii"),
@@ -246,13 +246,13 @@
 
     def _ready(self, flags: int) -> None:
         if flags & sockets.WRITABLE:
-            if not self._writer.writable():
+            if not self._writer.handle_writable():
                 self._lost()
                 return
             if self._closing and not self._writer.unsent:
                 self.close()
                 return
-        if flags & (sockets.READABLE | sockets.BROKEN):
+        if flags & (sockets.READABLE | sockets.ERROR_OR_HANGUP):
             self._read()
 
     def _read(self) -> None:
@@ -288,14 +288,14 @@
         elif self._broken:
             self._refuse(self._broken)
 
-    def answer(self, status: int, headers: Headers, body: bytes) -> None:
+    def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Sends an answer to the request in progress."""
         self._current = None
         if self._closed:
             return
         keep = (
             self._keep
-            and not self._door.leaving
+            and not self._door.draining
             and not (self._broken and not self._waiting)
         )
         reason = _REASONS.get(status, "Unknown")
@@ -317,7 +317,7 @@
 
     def _refuse(self, status: int) -> None:
         self._keep = False
-        self.answer(status, [], b"")
+        self.respond(status, [], b"")
 
     def _finish(self) -> None:
         """Closes the connection once all has been sent."""
@@ -331,9 +331,9 @@
         if self._current is not None or self._closing:
             return
         if self._receiving:
-            if now - self._at > limits.request_s:
+            if now - self._at > limits.request_timeout_s:
                 self._refuse(408)
-        elif now - self._at > limits.idle_s:
+        elif now - self._at > limits.idle_timeout_s:
             self.close()
 
     def _lost(self) -> None:
@@ -342,16 +342,16 @@
         self._waiting = []
         self.close()
         for incoming in [current, *waiting]:
-            if incoming is not None and incoming.gone is not None:
-                gone = incoming.gone
-                incoming.gone = None
-                gone()
+            if incoming is not None and incoming.on_disconnect is not None:
+                on_disconnect = incoming.on_disconnect
+                incoming.on_disconnect = None
+                on_disconnect()
 
     def close(self) -> None:
         """Closes the connection at once."""
         if self._closed:
             return
         self._closed = True
-        self._door.poller.forget(self._descriptor)
+        self._door.poller.unwatch(self._descriptor)
         self._door.discard(self)
         self._sock.close()
--- a/tamarackgap/network/scheduler.py
+++ b/tamarackgap/network/scheduler.py
@@ -40,7 +40,7 @@
         self._clock = clock
         self._timers: list[tuple[float, int, Timer]] = []
         self._order = itertools.count()
-        self._each_turn: list[Callable[[], None]] = []
+        self._each_iteration: list[Callable[[], None]] = []
 
     @property
     def now(self) -> float:
@@ -63,17 +63,17 @@
 
         self.after(seconds, again)
 
-    def each_turn(self, call: Callable[[], None]) -> None:
+    def each_iteration(self, call: Callable[[], None]) -> None:
         """Calls in each turn of the loop, before it waits for events."""
-        self._each_turn.append(call)
+        self._each_iteration.append(call)
 
-    def turn(self) -> float:
+    def run_due(self) -> float:
         """Makes all calls that are due.
 
         Returns:
             Seconds until the next one is due, or -1 where there is none.
         """
-        for call in self._each_turn:
+        for call in self._each_iteration:
             call()
         while self._timers:
             left = self._timers[0][0] - self._clock()
@@ -84,7 +84,7 @@
 
     @circuits.handler("generate_events", channel="*", priority=10)
     def _on_turn(self, event: circuits.Event) -> None:
-        left = self.turn()
+        left = self.run_due()
         if len(self.root):
             # A call has fired events: the loop must not wait now.
             left = 0.0
--- a/tamarackgap/network/sockets.py
+++ b/tamarackgap/network/sockets.py
@@ -10,7 +10,7 @@
 
 READABLE = select.EPOLLIN
 WRITABLE = select.EPOLLOUT
-BROKEN = select.EPOLLERR | select.EPOLLHUP
+ERROR_OR_HANGUP = select.EPOLLERR | select.EPOLLHUP
 READ_BYTES = 65_536
 CONNECTING = (errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EALREADY)
 
@@ -31,18 +31,18 @@
         self._callbacks: dict[int, Callback] = {}
         # Does what is due, and returns the seconds until more is; negative
         # where nothing is planned.
-        self.turn: Callable[[], float] | None = None
+        self.run_due: Callable[[], float] | None = None
 
     def watch(self, descriptor: int, flags: int, callback: Callback) -> None:
         """Calls `callback` whenever one of `flags` is set."""
         self._poller.register(descriptor, flags)
         self._callbacks[descriptor] = callback
 
-    def change(self, descriptor: int, flags: int) -> None:
+    def modify(self, descriptor: int, flags: int) -> None:
         """Waits for other flags from now on."""
         self._poller.modify(descriptor, flags)
 
-    def forget(self, descriptor: int) -> None:
+    def unwatch(self, descriptor: int) -> None:
         """Stops watching a descriptor, before it is closed."""
         if self._callbacks.pop(descriptor, None) is not None:
             self._poller.unregister(descriptor)
@@ -52,9 +52,9 @@
         while True:
             for descriptor, flags in self._poller.poll(left):
                 self._process(descriptor, flags)
-            if self.turn is None or len(self.root):
+            if self.run_due is None or len(self.root):
                 return
-            left = self.turn()
+            left = self.run_due()
             if len(self.root):
                 return
 
@@ -66,7 +66,7 @@
             callback(flags)
 
 
-def address_of(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Returns host and port of `ip:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
@@ -82,7 +82,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
     try:
-        sock.bind(address_of(address))
+        sock.bind(parse_address(address))
     except OSError as error:
         sock.close()
         raise OSError(f"{address}: {error}") from error
@@ -90,18 +90,20 @@
     return sock
 
 
-def connect(address: str, silence_ms: int) -> socket.socket | None:
+def connect(address: str, unacked_timeout_ms: int) -> socket.socket | None:
     """Returns a socket that is connecting, or None where it failed at once.
 
     Args:
         address: `ip:port`.
-        silence_ms: Unacknowledged bytes break the connection after this.
+        unacked_timeout_ms: TCP_USER_TIMEOUT of the connection.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, silence_ms)
-    code = sock.connect_ex(address_of(address))
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, unacked_timeout_ms
+    )
+    code = sock.connect_ex(parse_address(address))
     if code and code not in CONNECTING:
         sock.close()
         return None
@@ -127,7 +129,7 @@
         self._unsent = b""
         self._connected = connected
         # Whether nobody listens at the other side.
-        self.refused = False
+        self.connection_refused = False
 
     @property
     def connected(self) -> bool:
@@ -150,7 +152,7 @@
             return True
         return self._send(data)
 
-    def writable(self) -> bool:
+    def handle_writable(self) -> bool:
         """Goes on after the socket became writable.
 
         Returns:
@@ -159,7 +161,7 @@
         if not self._connected:
             code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
-                self.refused = code == errno.ECONNREFUSED
+                self.connection_refused = code == errno.ECONNREFUSED
                 return False
             self._connected = True
         data = self._unsent
@@ -167,7 +169,7 @@
         if not self._send(data):
             return False
         if not self._unsent:
-            self._poller.change(self._descriptor, READABLE)
+            self._poller.modify(self._descriptor, READABLE)
         return True
 
     def _send(self, data: bytes) -> bool:
@@ -181,5 +183,5 @@
             return False
         if count < len(data):
             self._unsent = data[count:]
-            self._poller.change(self._descriptor, READABLE | WRITABLE)
+            self._poller.modify(self._descriptor, READABLE | WRITABLE)
         return True
--- a/tamarackgap/peers/transport.py
+++ b/tamarackgap/peers/transport.py
@@ -85,7 +85,7 @@
             self._inbox.getsockopt(zmq.FD), sockets.READABLE, self._on_readable
         )
         self._has_more = False
-        timers.each_turn(self._drain_rest)
+        timers.each_iteration(self._drain_rest)
         # The descriptor is edge-triggered, so a missed edge would leave
         # messages unread.
         timers.every(_DRAIN_INTERVAL_S, self._drain)
--- a/tamarackgap/platform/operatorconfig.py
+++ b/tamarackgap/platform/operatorconfig.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from tamarackgap import logs, types
-from tamarackgap.network import door
+from tamarackgap.network import httpserver
 from tamarackgap.traffic import routetable
 
 _IDEMPOTENT_BY_KIND = {"idempotent": True, "non_idempotent": False}
@@ -69,7 +69,7 @@
         return None
     routes: list[routetable.Route] = []
     services: dict[types.ServiceName, routetable.Service] = {}
-    limits = door.Limits()
+    limits = httpserver.Limits()
     for resource in configuration.resources:
         try:
             match resource.type:
@@ -121,9 +121,9 @@
     )
 
 
-def _limits(resource: _Resource) -> door.Limits:
+def _limits(resource: _Resource) -> httpserver.Limits:
     spec = msgspec.json.decode(resource.spec, type=_Limits)
-    return door.Limits(
+    return httpserver.Limits(
         spec.max_header_bytes,
         spec.max_body_bytes,
         spec.header_timeout_ms / 1000,
--- a/tamarackgap/platform/requests.py
+++ b/tamarackgap/platform/requests.py
@@ -3,7 +3,7 @@
 from returns import result
 
 from tamarackgap import types
-from tamarackgap.network import door, httplink
+from tamarackgap.network import httppool, httpserver
 from tamarackgap.peers import calls
 from tamarackgap.placement import slots
 from tamarackgap.platform import names
@@ -38,7 +38,7 @@
 
 
 def decode_call(
-    incoming: door.Incoming, caller_service: types.ServiceName
+    incoming: httpserver.IncomingRequest, caller_service: types.ServiceName
 ) -> result.Result[adapter.DecodedRequest, str]:
     """Decodes a client's request.
 
@@ -127,7 +127,7 @@
     return head.encode("ascii") + body
 
 
-def is_answer_to(request_id: str, answer: httplink.Answer) -> bool:
+def is_answer_to(request_id: str, answer: httppool.Answer) -> bool:
     """Returns whether an answer belongs to a request.
 
     Servers echo the request id, except in some refusals.
@@ -138,7 +138,7 @@
     return echoed == request_id.encode("latin-1")
 
 
-def decode_answer(leg: int, answer: httplink.Answer) -> calls.Completion:
+def decode_answer(leg: int, answer: httppool.Answer) -> calls.Completion:
     """Returns the completion of a leg from the server's answer."""
     if answer.status == _STATUS_MISDIRECTED:
         return calls.Completion(
@@ -172,7 +172,7 @@
     )
 
 
-def _is_full(answer: httplink.Answer) -> bool:
+def _is_full(answer: httppool.Answer) -> bool:
     """Returns whether a server that refused a request had no free slot.
 
     A server that doesn't report its load counts as full.
--- a/tamarackgap/platform/servers.py
+++ b/tamarackgap/platform/servers.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from tamarackgap import logs
-from tamarackgap.network import door, httplink
+from tamarackgap.network import httppool, httpserver
 from tamarackgap.platform import names, requests
 from tamarackgap.traffic import localtarget, slotgrants
 
@@ -38,7 +38,7 @@
 
 
 def decode_announcement(
-    incoming: door.Incoming,
+    incoming: httpserver.IncomingRequest,
 ) -> localtarget.Announcement | None:
     """Returns a server's announcement, or None if there is no valid one."""
     path = incoming.target.partition("?")[0]
@@ -95,7 +95,7 @@
     return requests.encode_json("POST", path, "target", body)
 
 
-def decode_order_answer(answer: httplink.Answer) -> slotgrants.OrderResult:
+def decode_order_answer(answer: httppool.Answer) -> slotgrants.OrderResult:
     """Returns the result of an order from the server's answer."""
     handover = answer.header(names.HANDOVER) or b""
     return slotgrants.OrderResult(
--- a/tamarackgap/platform/store.py
+++ b/tamarackgap/platform/store.py
@@ -10,7 +10,7 @@
 from returns import result
 
 from tamarackgap import logs
-from tamarackgap.network import exchanges, httplink, scheduler, sockets
+from tamarackgap.network import exchanges, httppool, scheduler, sockets
 from tamarackgap.ownership import effects
 from tamarackgap.placement import records
 from tamarackgap.platform import names, operatorconfig, requests
@@ -99,7 +99,7 @@
         """
         self._timers = timers
         self._address = address
-        self._link = httplink.Link(
+        self._pool = httppool.ConnectionPool(
             poller, timers, address, _IDLE_TIMEOUT_S, _ACK_TIMEOUT_MS
         )
         self._call_counts: dict[str, int] = {}
@@ -224,8 +224,8 @@
         path: str,
         body: bytes,
         timeout: float,
-        done: httplink.Done,
-    ) -> httplink.Exchange:
+        done: httppool.DoneCallback,
+    ) -> httppool.Exchange:
         """Makes a call with a JSON body, and counts its result.
 
         Args:
@@ -242,10 +242,10 @@
         data = requests.encode_json(method, path, self._address, body)
 
         def handle_outcome(
-            outcome: result.Result[httplink.Answer, exchanges.Failure],
+            outcome: result.Result[httppool.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
-                case result.Success(httplink.Answer(status=status)):
+                case result.Success(httppool.Answer(status=status)):
                     name = f"{path_only} {status}"
                 case result.Failure(exchanges.Failure(cause=cause)):
                     name = f"{path_only} {cause.value}"
@@ -254,7 +254,7 @@
             self._call_counts[name] = self._call_counts.get(name, 0) + 1
             done(outcome)
 
-        return self._link.send(lambda: data, timeout, handle_outcome)
+        return self._pool.send(lambda: data, timeout, handle_outcome)
 
     @property
     def timers(self) -> scheduler.Scheduler:
@@ -332,13 +332,13 @@
         self,
         path: str,
         timeout: float,
-        handle_answer: Callable[[httplink.Answer], bool],
+        handle_answer: Callable[[httppool.Answer], bool],
     ) -> None:
         def handle_outcome(
-            outcome: result.Result[httplink.Answer, exchanges.Failure],
+            outcome: result.Result[httppool.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
-                case result.Success(httplink.Answer() as answer):
+                case result.Success(httppool.Answer() as answer):
                     if not handle_answer(answer):
                         self._handle_failure(f"status {answer.status}")
                 case result.Failure(exchanges.Failure(cause=cause)):
@@ -363,7 +363,7 @@
             self._is_failing = False
             logs.event("store_regained", table=self._table)
 
-    def _handle_page(self, answer: httplink.Answer) -> bool:
+    def _handle_page(self, answer: httppool.Answer) -> bool:
         page = _decode_answer(answer)
         if page is None:
             return False
@@ -388,7 +388,7 @@
         self._schedule(0.0)
         return True
 
-    def _handle_feed(self, answer: httplink.Answer) -> bool:
+    def _handle_feed(self, answer: httppool.Answer) -> bool:
         if answer.status == _STATUS_HISTORY_LOST:
             logs.event("store_history_lost", table=self._table)
             self._revision = None
@@ -409,7 +409,7 @@
         return True
 
 
-def _decode_answer(answer: httplink.Answer) -> _RowsAnswer | None:
+def _decode_answer(answer: httppool.Answer) -> _RowsAnswer | None:
     if answer.status != _STATUS_OK:
         return None
     try:
@@ -447,10 +447,10 @@
 def _handle_commit_answer(
     transaction: records.Transaction,
     done: Callable[[effects.CommitState, list[records.Row]], None],
-    outcome: result.Result[httplink.Answer, exchanges.Failure],
+    outcome: result.Result[httppool.Answer, exchanges.Failure],
 ) -> None:
     match outcome:
-        case result.Success(httplink.Answer(status=status) as answer):
+        case result.Success(httppool.Answer(status=status) as answer):
             page = _decode_commit_answer(answer)
             if page is not None and status == _STATUS_OK:
                 rows = [
@@ -471,7 +471,7 @@
     done(effects.CommitState.UNKNOWN, [])
 
 
-def _decode_commit_answer(answer: httplink.Answer) -> _RowsAnswer | None:
+def _decode_commit_answer(answer: httppool.Answer) -> _RowsAnswer | None:
     if answer.status not in (_STATUS_OK, _STATUS_CONDITION_FAILED):
         return None
     try:
--- a/tamarackgap/processes/daemon.py
+++ b/tamarackgap/processes/daemon.py
@@ -176,7 +176,7 @@
             http=settings.daemon_http_address,
             peers=settings.daemon_peer_address,
         )
-        self._timers.each_turn(self._measure_turn)
+        self._timers.each_iteration(self._measure_turn)
         self._timers.every(_TICK_INTERVAL_S, self._tick)
         self._timers.every(_LIMITS_INTERVAL_S, self._apply_limits)
         self._timers.every(_GAUGES_INTERVAL_S, self._set_gauges)
@@ -298,7 +298,7 @@
     ) -> None:
         now = time.monotonic()
         if state is not effects.CommitState.UNKNOWN:
-            self._table_reader.heard()
+            self._table_reader.record_answer()
         self._core.handle_commit_result(change, state, rows, now)
         self._perform_effects()
 
@@ -326,7 +326,7 @@
         if (
             self._core.accepting
             or not self._core.owned
-            or not self._table_reader.is_silent(now)
+            or not self._table_reader.is_unreachable(now)
             or self._executor.in_progress
         ):
             return
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -16,7 +16,13 @@
 from returns import result
 
 from tamarackgap import logs, metrics, types
-from tamarackgap.network import door, exchanges, httplink, scheduler, sockets
+from tamarackgap.network import (
+    exchanges,
+    httppool,
+    httpserver,
+    scheduler,
+    sockets,
+)
 from tamarackgap.ownership import effects, ownership
 from tamarackgap.peers import calls, messages, transport
 from tamarackgap.placement import records
@@ -105,7 +111,7 @@
         self._rng = random.Random()
         self.poller = sockets.Poller().register(self)
         self.timers = scheduler.Scheduler(now).register(self)
-        self.poller.turn = self.timers.turn
+        self.poller.run_due = self.timers.run_due
         self._route_table: routetable.RouteTable | None = None
         self._route_table_since = now()
         self._route_index: routetable.RouteIndex | None = None
@@ -132,7 +138,7 @@
             _ownership_settings(settings), self._rng, self._is_pinned, now()
         )
         self._core.keyed = False
-        self._call_link = httplink.Link(
+        self._call_link = httppool.ConnectionPool(
             self.poller,
             self.timers,
             settings.router_target_address,
@@ -141,7 +147,7 @@
         )
         # Orders have a link of their own, so that they don't wait for calls.
         # They need few of the target's connections.
-        self._order_link = httplink.Link(
+        self._order_link = httppool.ConnectionPool(
             self.poller,
             self.timers,
             settings.router_target_address,
@@ -236,23 +242,25 @@
         self.timers.every(_REFUSE_LATE_INTERVAL_S, self._runner.refuse_late)
         self.timers.every(_LOAD_REPORT_INTERVAL_S, self._report_load)
 
-    def _listen(self, address: str, handler: door.Serve) -> door.Door:
-        return door.Door(self.poller, self.timers, address, handler)
+    def _listen(
+        self, address: str, handler: httpserver.RequestHandler
+    ) -> httpserver.HttpServer:
+        return httpserver.HttpServer(self.poller, self.timers, address, handler)
 
     # Callers.
 
-    def _handle_request(self, incoming: door.Incoming) -> None:
+    def _handle_request(self, incoming: httpserver.IncomingRequest) -> None:
         match self._adapter.decode_call(incoming, self._service):
             case result.Failure(problem):
                 logs.request_event("request_malformed", True, problem=problem)
-                incoming.answer(_STATUS_BAD_REQUEST, [], b"")
+                incoming.respond(_STATUS_BAD_REQUEST, [], b"")
                 return
             case result.Success(adapter.DecodedRequest() as request):
                 pass
             case other:
                 raise AssertionError(other)
         if self._route_index is None:
-            incoming.answer(
+            incoming.respond(
                 _STATUS_UNAVAILABLE, [(b"retry-after", _RETRY_AFTER_S)], b""
             )
             return
@@ -267,35 +275,37 @@
                 host=request.host,
                 version=self._route_table.version,
             )
-            incoming.answer(_STATUS_NOT_FOUND, [], b"")
+            incoming.respond(_STATUS_NOT_FOUND, [], b"")
             return
         timeout = route.timeout if request.timeout is None else request.timeout
         pending = self._request_dispatcher.submit(
             request.call,
             route,
-            incoming.begun,
+            incoming.received_at,
             timeout,
             functools.partial(self._respond, incoming),
         )
         if pending.done is not None:
-            incoming.gone = functools.partial(
+            incoming.on_disconnect = functools.partial(
                 self._request_dispatcher.cancel, pending
             )
 
     def _respond(
-        self, incoming: door.Incoming, completion: calls.Completion
+        self, incoming: httpserver.IncomingRequest, completion: calls.Completion
     ) -> None:
         response = self._adapter.encode_answer(completion)
-        incoming.answer(response.status, response.headers, response.body)
+        incoming.respond(response.status, response.headers, response.body)
 
     # The target.
 
-    def _handle_announcement(self, incoming: door.Incoming) -> None:
+    def _handle_announcement(
+        self, incoming: httpserver.IncomingRequest
+    ) -> None:
         announcement = self._adapter.decode_announcement(incoming)
         if announcement is None:
-            incoming.answer(_STATUS_BAD_REQUEST, [], b"")
+            incoming.respond(_STATUS_BAD_REQUEST, [], b"")
             return
-        incoming.answer(_STATUS_OK, [], b"")
+        incoming.respond(_STATUS_OK, [], b"")
         self._apply_transition(
             self._local_target.handle_announcement(announcement, now())
         )
@@ -410,10 +420,10 @@
         done: Callable[[slotgrants.OrderResult], None],
     ) -> None:
         def handle_outcome(
-            outcome: result.Result[httplink.Answer, exchanges.Failure],
+            outcome: result.Result[httppool.Answer, exchanges.Failure],
         ) -> None:
             match outcome:
-                case result.Success(httplink.Answer() as answer):
+                case result.Success(httppool.Answer() as answer):
                     done(self._adapter.decode_order_answer(answer))
                 case result.Failure(exchanges.Failure(cause=cause)):
                     logs.event("order_unanswered", cause=cause.value)
@@ -597,7 +607,7 @@
             "open_connections": self._caller_server.connections,
         }
 
-    def _build_pages(self) -> door.Serve:
+    def _build_pages(self) -> httpserver.RequestHandler:
         return routerpages.build(
             routerpages.PageSources(
                 core=self._core,
@@ -618,13 +628,13 @@
 
     # Readiness and shutdown.
 
-    def _handle_readiness(self, incoming: door.Incoming) -> None:
+    def _handle_readiness(self, incoming: httpserver.IncomingRequest) -> None:
         ready = (
             self._listen_until is None
             and self._route_table is not None
             and self._core.view.is_read
         )
-        incoming.answer(_STATUS_OK if ready else _STATUS_UNAVAILABLE, [], b"")
+        incoming.respond(_STATUS_OK if ready else _STATUS_UNAVAILABLE, [], b"")
 
     @circuits.handler("signal", channel="*")
     def _on_signal(
@@ -646,7 +656,7 @@
         self._exit_deadline = (
             current_time + self._settings.router_grace / 1000 - _EXIT_RESERVE_S
         )
-        self._caller_server.leaving = True
+        self._caller_server.draining = True
         self._core.drain()
         # The target may keep running, and other daemons can use its capacity
         # until then.
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from tamarackgap import metrics
-from tamarackgap.network import door
+from tamarackgap.network import httpserver
 from tamarackgap.ownership import ownership, reports
 from tamarackgap.placement import slots
 from tamarackgap.traffic import (
@@ -105,7 +105,7 @@
     pending: str
 
 
-def build(sources: PageSources) -> door.Serve:
+def build(sources: PageSources) -> httpserver.RequestHandler:
     """Returns the handler of requests for the pages."""
     pages: dict[str, Page] = {
         "/metrics": lambda query: _metrics(sources),
@@ -116,18 +116,20 @@
         "/explain": lambda query: _json(_explain(sources, query)),
     }
 
-    def handle(incoming: door.Incoming) -> None:
+    def handle(incoming: httpserver.IncomingRequest) -> None:
         path, _, query = incoming.target.partition("?")
         page = pages.get(path)
         if page is None:
-            incoming.answer(_STATUS_NOT_FOUND, [], b"no such page")
+            incoming.respond(_STATUS_NOT_FOUND, [], b"no such page")
             return
         try:
             response = page(dict(urllib.parse.parse_qsl(query)))
         except (KeyError, ValueError) as error:
-            incoming.answer(_STATUS_BAD_REQUEST, [], str(error).encode("utf-8"))
+            incoming.respond(
+                _STATUS_BAD_REQUEST, [], str(error).encode("utf-8")
+            )
             return
-        incoming.answer(response.status, response.headers, response.body)
+        incoming.respond(response.status, response.headers, response.body)
 
     return handle
 
--- a/tamarackgap/settings/config.py
+++ b/tamarackgap/settings/config.py
@@ -121,7 +121,7 @@
         number = int(text)
     except ValueError:
         return None
-    return number if option.low <= number <= option.high else None
+    return number if option.minimum <= number <= option.maximum else None
 
 
 def is_address(text: str) -> bool:
--- a/tamarackgap/settings/options.py
+++ b/tamarackgap/settings/options.py
@@ -23,8 +23,8 @@
         kind: How its text is read.
         help: What it does, for the documentation.
         default: Its value where the file has none; None must be given.
-        low: Least value of a number.
-        high: Greatest value of a number.
+        minimum: Least value of a number.
+        maximum: Greatest value of a number.
         unit: Unit of a number.
     """
 
@@ -33,8 +33,8 @@
     kind: Kind
     help: str
     default: str | int | None = None
-    low: int = 0
-    high: int = 0
+    minimum: int = 0
+    maximum: int = 0
     unit: str = ""
 
     @property
@@ -47,20 +47,29 @@
         """What a valid value is, in words."""
         if self.kind is not Kind.INTEGER:
             return self.kind.value
-        return f"{self.kind.value} of {self.low} to {self.high} {self.unit}"
+        return (
+            f"{self.kind.value} of {self.minimum} to {self.maximum} {self.unit}"
+        )
 
 
 def _number(
     section: str,
     name: str,
     default: int,
-    low: int,
-    high: int,
+    minimum: int,
+    maximum: int,
     unit: str,
     text: str,
 ) -> Option:
     return Option(
-        section, name, Kind.INTEGER, text, default, low, high, unit.strip()
+        section,
+        name,
+        Kind.INTEGER,
+        text,
+        default,
+        minimum,
+        maximum,
+        unit.strip(),
     )
 
 
--- a/tamarackgap/table/tableclient.py
+++ b/tamarackgap/table/tableclient.py
@@ -26,7 +26,7 @@
     rows: list[records.Row]
 
 
-class Outcome(msgspec.Struct, frozen=True):
+class CommitOutcome(msgspec.Struct, frozen=True):
     """The table's answer to a transaction.
 
     Attributes:
@@ -38,8 +38,8 @@
     rows: list[records.Row]
 
 
-ReadDone = Callable[[result.Result[Changes, str]], None]
-CommitDone = Callable[[effects.CommitState, list[records.Row]], None]
+ReadCallback = Callable[[result.Result[Changes, str]], None]
+CommitCallback = Callable[[effects.CommitState, list[records.Row]], None]
 
 
 class TableClient:
@@ -61,7 +61,7 @@
         self.reads = 0
         self.writes = 0
 
-    def read(self, since: int, done: ReadDone) -> None:
+    def read(self, since: int, done: ReadCallback) -> None:
         """Asks for all rows changed after a revision."""
         self.reads += 1
 
@@ -75,7 +75,7 @@
         )
 
     def commit(
-        self, transaction: records.Transaction, done: CommitDone
+        self, transaction: records.Transaction, done: CommitCallback
     ) -> None:
         """Puts a transaction; the outcome may stay unknown."""
         self.writes += 1
@@ -85,7 +85,9 @@
         ) -> None:
             found = outcome.alt(_cause).bind(_outcome)
             match found:
-                case result.Success(Outcome(committed=committed, rows=rows)):
+                case result.Success(
+                    CommitOutcome(committed=committed, rows=rows)
+                ):
                     done(_state(committed), rows)
                 case _:
                     done(effects.CommitState.UNKNOWN, [])
@@ -123,10 +125,10 @@
     return _decode(answer.body, Changes)
 
 
-def _outcome(answer: httpclient.Answer) -> result.Result[Outcome, str]:
+def _outcome(answer: httpclient.Answer) -> result.Result[CommitOutcome, str]:
     if answer.status not in (_OK, _CONFLICT):
         return result.Failure(f"status {answer.status}")
-    return _decode(answer.body, Outcome)
+    return _decode(answer.body, CommitOutcome)
 
 
 def _decode(body: bytes, kind: type) -> result.Result:
--- a/tamarackgap/table/tablereader.py
+++ b/tamarackgap/table/tablereader.py
@@ -27,8 +27,8 @@
         core: ownership.Ownership,
         timers: scheduler.Scheduler,
         rng: random.Random,
-        pause: float,
-        read: Callable[[], None],
+        poll_interval: float,
+        on_read: Callable[[], None],
     ) -> None:
         """Creates a reader that has read nothing.
 
@@ -37,26 +37,26 @@
             core: Takes the rows in.
             timers: The loop's scheduler.
             rng: Spreads reads after a change.
-            pause: Least time between two polls, seconds.
-            read: Called after each read that was answered.
+            poll_interval: Least time between two polls, seconds.
+            on_read: Called after each read that was answered.
         """
         self._table = table
         self._core = core
         self._timers = timers
         self._rng = rng
-        self._pause = pause
-        self._read_done = read
+        self._poll_interval = poll_interval
+        self._on_read = on_read
         self._is_reading = False
         self._is_planned = False
         self._asked_at = float("-inf")
         self._failing_since: float | None = None
 
-    def is_silent(self, now: float) -> bool:
+    def is_unreachable(self, now: float) -> bool:
         """Returns whether the table has failed to answer for a while."""
         since = self._failing_since
         return since is not None and now - since > _SILENCE_S
 
-    def heard(self) -> None:
+    def record_answer(self) -> None:
         """Notes an answer of the table."""
         self._failing_since = None
 
@@ -64,7 +64,7 @@
         """Reads now, and again after a pause that grows with the daemons."""
         self._read()
         fair = len(self._core.view.members()) / _POLLS_PER_S
-        self._timers.after(max(self._pause, fair), self.poll)
+        self._timers.after(max(self._poll_interval, fair), self.poll)
 
     def read_soon(self) -> None:
         """Reads once, within a time that grows with the daemons.
@@ -95,10 +95,10 @@
         self._is_reading = False
         match outcome:
             case result.Success(tableclient.Changes() as found):
-                self.heard()
+                self.record_answer()
                 now = self._timers.now
                 self._core.apply_table_read(found.rows, found.revision, now)
-                self._read_done()
+                self._on_read()
             case result.Failure(problem):
                 if self._failing_since is None:
                     self._failing_since = self._timers.now
--- a/tamarackgap/traffic/adapter.py
+++ b/tamarackgap/traffic/adapter.py
@@ -11,7 +11,7 @@
 from returns import result
 
 from tamarackgap import types
-from tamarackgap.network import door, httplink
+from tamarackgap.network import httppool, httpserver
 from tamarackgap.ownership import effects
 from tamarackgap.peers import calls
 from tamarackgap.placement import records
@@ -42,7 +42,7 @@
     """
 
     status: int
-    headers: door.Headers
+    headers: httpserver.Headers
     body: bytes
 
 
@@ -121,13 +121,14 @@
 
     store: Store
     decode_call: Callable[
-        [door.Incoming, types.ServiceName], result.Result[DecodedRequest, str]
+        [httpserver.IncomingRequest, types.ServiceName],
+        result.Result[DecodedRequest, str],
     ]
     encode_answer: Callable[[calls.Completion], Response]
     codec: runner.Codec
     encode_order: Callable[[slotgrants.Grant | slotgrants.Release], bytes]
-    decode_order_answer: Callable[[httplink.Answer], slotgrants.OrderResult]
+    decode_order_answer: Callable[[httppool.Answer], slotgrants.OrderResult]
     decode_announcement: Callable[
-        [door.Incoming], localtarget.Announcement | None
+        [httpserver.IncomingRequest], localtarget.Announcement | None
     ]
     decode_table: Callable[[bytes], routetable.RouteTable | None]
--- a/tamarackgap/traffic/routetable.py
+++ b/tamarackgap/traffic/routetable.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from tamarackgap import types
-from tamarackgap.network import door
+from tamarackgap.network import httpserver
 
 
 class Share(msgspec.Struct, frozen=True):
@@ -68,7 +68,7 @@
     version: int
     routes: tuple[Route, ...]
     services: dict[types.ServiceName, Service]
-    limits: door.Limits
+    limits: httpserver.Limits
     source: bytes = b""
 
 
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -12,7 +12,7 @@
 from returns import result
 
 from tamarackgap import logs, types
-from tamarackgap.network import exchanges, httplink, scheduler
+from tamarackgap.network import exchanges, httppool, scheduler
 from tamarackgap.ownership import ownership
 from tamarackgap.peers import calls
 from tamarackgap.placement import loadstats, slots
@@ -50,8 +50,8 @@
     """
 
     encode: Callable[[calls.Dispatch, int, str], bytes]
-    is_answer_to: Callable[[str, httplink.Answer], bool]
-    decode_answer: Callable[[int, httplink.Answer], calls.Completion]
+    is_answer_to: Callable[[str, httppool.Answer], bool]
+    decode_answer: Callable[[int, httppool.Answer], calls.Completion]
 
 
 class Leg(msgspec.Struct, eq=False):
@@ -76,7 +76,7 @@
     reply: Reply | None
     begun: float = 0.0
     waiting: admission.QueuedCall | None = None
-    exchange: httplink.Exchange | None = None
+    exchange: httppool.Exchange | None = None
 
 
 class Runner:
@@ -87,7 +87,7 @@
         service: types.ServiceName,
         core: ownership.Ownership,
         grants: slotgrants.SlotGrants,
-        link: httplink.Link,
+        pool: httppool.ConnectionPool,
         codec: Codec,
         timers: scheduler.Scheduler,
         on_connection_refused: Callable[[], None],
@@ -99,7 +99,7 @@
             service: The target's service.
             core: Tells which slots this daemon owns.
             grants: Tells which slots the target holds.
-            link: Connections to the target.
+            pool: Connections to the target.
             codec: Encodes calls and decodes answers.
             timers: The loop's scheduler.
             on_connection_refused: Called when the target refuses connections.
@@ -109,7 +109,7 @@
         self._service = service
         self._core = core
         self._grants = grants
-        self._link = link
+        self._pool = pool
         self._codec = codec
         self._timers = timers
         self._on_connection_refused = on_connection_refused
@@ -179,7 +179,7 @@
         """Stops using the target and refuses all queued calls."""
         self._instance = ""
         self._admission.resize(0, self._timers.now)
-        self._link.close()
+        self._pool.close()
 
     def pop_crashed_runs(self) -> list[tuple[str, float, float]]:
         """Returns and forgets the runs that a crash of the target has ended.
@@ -273,7 +273,7 @@
             ):
                 self._legs.pop((sender, leg_id), None)
         elif leg.dispatch.idempotent:
-            self._link.cancel(leg.exchange)
+            self._pool.cancel(leg.exchange)
 
     def _refusal(
         self, dispatch: calls.Dispatch, now: float
@@ -337,7 +337,7 @@
             return
         leg.begun = now
         request_id = dispatch.call.request_id
-        leg.exchange = self._link.send(
+        leg.exchange = self._pool.send(
             functools.partial(self._encode, leg, self._instance),
             left + _ANSWER_GRACE_S,
             functools.partial(self._handle_outcome, leg),
@@ -354,13 +354,13 @@
     def _handle_outcome(
         self,
         leg: Leg,
-        outcome: result.Result[httplink.Answer, exchanges.Failure],
+        outcome: result.Result[httppool.Answer, exchanges.Failure],
     ) -> None:
         """Interprets what an exchange with the target ended with."""
         now = self._timers.now
         duration: float | None = None
         match outcome:
-            case result.Success(httplink.Answer() as answer):
+            case result.Success(httppool.Answer() as answer):
                 self.last_answered_at = now
                 completion = self._codec.decode_answer(leg.dispatch.leg, answer)
                 if completion.verdict is types.Verdict.ANSWERED:
--- a/tests/commands/test_cmdline.py
+++ b/tests/commands/test_cmdline.py
@@ -32,7 +32,7 @@
 def platform():
     found = platform_lib.Platform()
     address = f"127.0.0.1:{ports.free_ports(1, first=33000, last=34000)}"
-    server = httpd.serve(address, found.answer)
+    server = httpd.serve(address, found.handle_request)
     threading.Thread(target=server.serve_forever, daemon=True).start()
     founding = records.Transaction(
         "f",
@@ -159,6 +159,8 @@
     )
     assert unsure.exit_code == 1
     assert run("lost", "seats-9", *where, "--yes").exit_code == 0
-    row = next(r for r in platform.table.since(0)[1] if r.key == record.key)
+    row = next(
+        r for r in platform.table.rows_since(0)[1] if r.key == record.key
+    )
     assert row.value is None
     assert run("lost", "seats-9", *where, "--yes").exit_code == 1
--- a/tests/network/test_httplink.py
+++ b/tests/network/test_httppool.py
@@ -4,7 +4,7 @@
 import pytest
 from returns import result
 
-from tamarackgap.network import exchanges, httplink, sockets
+from tamarackgap.network import exchanges, httppool, sockets
 
 
 class Poller:
@@ -16,10 +16,10 @@
     def watch(self, descriptor, flags, ready):
         self.watched[descriptor] = ready
 
-    def change(self, descriptor, flags):
+    def modify(self, descriptor, flags):
         pass
 
-    def forget(self, descriptor):
+    def unwatch(self, descriptor):
         self.watched.pop(descriptor, None)
 
     def fire(self, flags):
@@ -47,7 +47,9 @@
 def subject(target):
     poller = Poller()
     host, port = target.getsockname()
-    link = httplink.Link(poller, Timers(), f"{host}:{port}", 5.0, 3000)
+    link = httppool.ConnectionPool(
+        poller, Timers(), f"{host}:{port}", 5.0, 3000
+    )
     yield poller, link
     link.close()
 
--- a/tests/network/test_sockets.py
+++ b/tests/network/test_sockets.py
@@ -15,7 +15,7 @@
         self.timers = scheduler.Scheduler().register(self)
         self.events = 0
         if direct:
-            self.poller.turn = self.timers.turn
+            self.poller.run_due = self.timers.run_due
 
     @circuits.handler("generate_events", channel="*", priority=20)
     def _on_turn(self, event):
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -6,7 +6,7 @@
 from tamarackgap.ownership import effects
 from tamarackgap.peers import messages
 from tamarackgap.placement import records, slots
-from tests.support import world
+from tests.support import simulation
 
 # Requirement: a key is served again within a second of a loss.
 MAX_RECOVERY_S = 1.0
@@ -16,23 +16,23 @@
 
 
 def settled_cluster(seed=1, count=5, **settings):
-    cluster = world.World(seed=seed, **settings)
+    cluster = simulation.Simulation(seed=seed, **settings)
     cluster.deploy(count)
-    assert cluster.run(20, cluster.settled) is not None
+    assert cluster.run(20, cluster.is_balanced) is not None
     cluster.run(1)
-    cluster.worst_gap.clear()
+    cluster.longest_gap.clear()
     cluster.log.clear()
     return cluster
 
 
 def worst_gap(cluster):
-    return max(cluster.worst_gap.values(), default=0.0)
+    return max(cluster.longest_gap.values(), default=0.0)
 
 
 def test_slots_are_allocated_once_and_spread():
     cluster = settled_cluster()
-    assert sum(cluster.counts().values()) == 32
-    assert cluster.double == []
+    assert sum(cluster.slot_counts().values()) == 32
+    assert cluster.violations == []
 
 
 def test_nothing_is_written_while_nothing_changes():
@@ -51,23 +51,23 @@
     cluster.run(1)
     cluster.kill("seats-1")
     cluster.run(3)
-    assert cluster.all_served()
+    assert cluster.all_slots_served()
     assert worst_gap(cluster) <= MAX_RECOVERY_S
-    assert cluster.double == []
+    assert cluster.violations == []
 
 
 def test_a_loss_moves_only_the_slots_of_the_lost_daemon():
     cluster = settled_cluster()
     kept = {
-        name: set(node.core.owned)
-        for name, node in cluster.nodes.items()
+        name: set(daemon.core.owned)
+        for name, daemon in cluster.daemons.items()
         if name != "seats-1"
     }
     cluster.kill("seats-1")
     cluster.run(0.1)
-    cluster.run(2, cluster.all_served)
+    cluster.run(2, cluster.all_slots_served)
     for name, held in kept.items():
-        assert held <= set(cluster.nodes[name].core.owned)
+        assert held <= set(cluster.daemons[name].core.owned)
 
 
 @pytest.mark.parametrize("table_up", [True, False])
@@ -78,9 +78,9 @@
     for name in ("seats-1", "seats-4", "seats-7"):
         cluster.kill(name)
     cluster.run(3)
-    assert cluster.all_served()
+    assert cluster.all_slots_served()
     assert worst_gap(cluster) <= MAX_RECOVERY_S
-    assert cluster.double == []
+    assert cluster.violations == []
 
 
 def test_slots_taken_over_without_the_table_are_recorded_later():
@@ -88,30 +88,30 @@
     cluster.table_up = False
     cluster.kill("seats-1")
     cluster.run(3)
-    assert any(node.core.unrecorded for node in cluster.nodes.values())
+    assert any(daemon.core.unrecorded for daemon in cluster.daemons.values())
     cluster.table_up = True
-    cluster.worst_gap.clear()
+    cluster.longest_gap.clear()
     cluster.run(6)
     assert worst_gap(cluster) <= MAX_MOVE_GAP_S
-    alive = [node for node in cluster.nodes.values() if node.alive]
-    assert not any(node.core.unrecorded for node in alive)
-    assert cluster.double == []
+    alive = [daemon for daemon in cluster.daemons.values() if daemon.alive]
+    assert not any(daemon.core.unrecorded for daemon in alive)
+    assert cluster.violations == []
 
 
 @pytest.mark.parametrize("table_up", [True, False])
 def test_a_daemon_paused_past_its_lease_does_not_serve(table_up):
     cluster = settled_cluster()
     cluster.table_up = table_up
-    node = cluster.nodes["seats-2"]
-    before = set(node.core.owned)
-    node.paused = True
+    daemon = cluster.daemons["seats-2"]
+    before = set(daemon.core.owned)
+    daemon.paused = True
     cluster.run(2)
-    clock = node.clock(cluster.now)
-    assert all(node.core.refusal(slot, clock) for slot in before)
-    node.paused = False
+    clock = daemon.clock(cluster.now)
+    assert all(daemon.core.refusal(slot, clock) for slot in before)
+    daemon.paused = False
     cluster.run(2)
-    assert cluster.all_served()
-    assert cluster.double == []
+    assert cluster.all_slots_served()
+    assert cluster.violations == []
 
 
 @pytest.mark.parametrize("table_up", [True, False])
@@ -122,18 +122,18 @@
     cluster = settled_cluster()
     cluster.table_up = table_up
     cluster.run(0.5)
-    cluster.worst_gap.clear()
+    cluster.longest_gap.clear()
     cluster.cut("seats-2", *direction)
     cluster.run(3)
-    others = [n for n in cluster.nodes.values() if n.name != "seats-2"]
-    served = {slot for node in others for slot in node.core.owned}
+    others = [n for n in cluster.daemons.values() if n.name != "seats-2"]
+    served = {slot for daemon in others for slot in daemon.core.owned}
     assert served == set(range(32))
     assert worst_gap(cluster) <= MAX_RECOVERY_S
-    cluster.join("seats-2")
+    cluster.reconnect("seats-2")
     cluster.table_up = True
     cluster.run(8)
-    assert cluster.all_served()
-    assert cluster.double == []
+    assert cluster.all_slots_served()
+    assert cluster.violations == []
 
 
 def test_a_short_partition_leaves_owners_serving():
@@ -141,86 +141,86 @@
     cluster.cut("seats-0")
     cluster.cut("seats-3")
     cluster.run(0.3)
-    cluster.join("seats-0")
-    cluster.join("seats-3")
+    cluster.reconnect("seats-0")
+    cluster.reconnect("seats-3")
     cluster.run(3)
     assert cluster.events("taken_over") == []
-    assert worst_gap(cluster) <= 2 * world.STEP_S
+    assert worst_gap(cluster) <= 2 * simulation.STEP_S
 
 
 def test_a_pause_shorter_than_a_lease_causes_no_takeover():
     cluster = settled_cluster()
-    cluster.nodes["seats-2"].paused = True
+    cluster.daemons["seats-2"].paused = True
     cluster.run(0.25)
-    cluster.nodes["seats-2"].paused = False
+    cluster.daemons["seats-2"].paused = False
     cluster.run(3)
     assert cluster.events("taken_over") == []
 
 
 def test_a_draining_daemon_moves_its_slots_without_a_gap_and_leaves():
     cluster = settled_cluster()
-    node = cluster.nodes["seats-0"]
-    node.core.drain()
+    daemon = cluster.daemons["seats-0"]
+    daemon.core.drain()
     cluster.run(3)
-    assert node.core.owned == {}
-    assert node.core.view.lease(node.core.incarnation) is None
-    assert cluster.all_served()
+    assert daemon.core.owned == {}
+    assert daemon.core.view.lease(daemon.core.incarnation) is None
+    assert cluster.all_slots_served()
     assert worst_gap(cluster) <= MAX_MOVE_GAP_S
     assert cluster.events("taken_over") == []
 
 
 def test_slots_with_requests_in_progress_are_not_moved():
     cluster = settled_cluster()
-    node = cluster.nodes["seats-0"]
-    busy = set(list(node.core.owned)[:3])
-    node.busy = busy
-    node.core.drain()
+    daemon = cluster.daemons["seats-0"]
+    busy = set(list(daemon.core.owned)[:3])
+    daemon.busy_slots = busy
+    daemon.core.drain()
     cluster.run(3)
-    assert set(node.core.owned) == busy
-    node.busy = set()
+    assert set(daemon.core.owned) == busy
+    daemon.busy_slots = set()
     cluster.run(2)
-    assert node.core.owned == {}
+    assert daemon.core.owned == {}
 
 
 def test_a_released_lease_is_taken_over_at_once_without_the_table():
     cluster = settled_cluster()
     cluster.table_up = False
     cluster.run(1)
-    node = cluster.nodes["seats-0"]
-    node.core.set_target_state(False)
-    node.core.release_lease(node.clock(cluster.now))
+    daemon = cluster.daemons["seats-0"]
+    daemon.core.set_target_state(False)
+    daemon.core.release_lease(daemon.clock(cluster.now))
     cluster.run(2)
-    assert cluster.all_served()
+    assert cluster.all_slots_served()
     assert worst_gap(cluster) <= MAX_MOVE_GAP_S
 
 
 def test_all_daemons_can_restart_from_the_table_alone():
     cluster = settled_cluster()
-    for name in list(cluster.nodes):
+    for name in list(cluster.daemons):
         cluster.kill(name)
     cluster.run(2)
-    for name in list(cluster.nodes):
+    for name in list(cluster.daemons):
         cluster.restart(name)
-    assert cluster.run(20, cluster.settled) is not None
-    assert cluster.double == []
+    assert cluster.run(20, cluster.is_balanced) is not None
+    assert cluster.violations == []
 
 
 def test_lost_commit_results_do_no_harm():
     cluster = settled_cluster()
-    cluster.lose_answers = 0.7
-    cluster.nodes["seats-0"].core.drain()
+    cluster.answer_loss_rate = 0.7
+    cluster.daemons["seats-0"].core.drain()
     cluster.kill("seats-1")
     cluster.run(15)
-    assert cluster.all_served()
-    assert cluster.nodes["seats-0"].core.owned == {}
-    assert cluster.double == []
+    assert cluster.all_slots_served()
+    assert cluster.daemons["seats-0"].core.owned == {}
+    assert cluster.violations == []
 
 
 def test_a_table_outage_leaves_owned_slots_served():
     cluster = settled_cluster()
     cluster.table_up = False
     cluster.run(60)
-    assert worst_gap(cluster) <= 2 * world.STEP_S
+    assert worst_gap(cluster) <= 2 * simulation.STEP_S
     assert cluster.events("lease_lost") == []
 
 
@@ -237,23 +237,23 @@
     )
     assert cluster.table.commit(edit)[0]
     cluster.run(5)
-    counts = cluster.counts()
+    counts = cluster.slot_counts()
     assert counts["seats-0"] == counts["seats-3"] == 0
-    assert cluster.all_served()
+    assert cluster.all_slots_served()
     cluster.restart("seats-1")
     cluster.run(8)
-    assert cluster.counts()["seats-0"] == 0
+    assert cluster.slot_counts()["seats-0"] == 0
 
 
 def test_effects_name_the_incarnation_that_decided_them():
     # If a renewal of the ended incarnation is sent under the new one's id,
     # witnesses take the new one's first epochs for superseded.
     cluster = settled_cluster()
-    node = cluster.nodes["seats-0"]
-    core = node.core
+    daemon = cluster.daemons["seats-0"]
+    core = daemon.core
     core.take_effects()
     old = core.incarnation
-    clock = node.clock(cluster.now) + 5.0
+    clock = daemon.clock(cluster.now) + 5.0
     core.tick(clock)
     core.tick(clock + 2.0)
     sends = [e for e in core.take_effects() if isinstance(e, effects.Send)]
@@ -266,18 +266,18 @@
     # After a restart such a grant can arrive at the same address. If the new
     # process counts it, it holds a lease that no witness knows of.
     cluster = settled_cluster()
-    node = cluster.restart("seats-0")
+    daemon = cluster.restart("seats-0")
     cluster.run(3)
-    clock = node.clock(cluster.now)
-    until = node.core.lease_until()
+    clock = daemon.clock(cluster.now)
+    until = daemon.core.lease_until()
     late = messages.RenewReply(
-        "earlier", node.core.epoch, clock + 60, True, OPEN, 0
+        "earlier", daemon.core.epoch, clock + 60, True, OPEN, 0
     )
-    for name in node.core.grants().witnesses:
-        node.core.receive(
+    for name in daemon.core.grants().witnesses:
+        daemon.core.receive(
             messages.Envelope("test", name, "127.0.0.1:1", late), clock
         )
-    assert node.core.lease_until() == until
+    assert daemon.core.lease_until() == until
 
 
 def test_a_late_result_of_another_write_is_ignored():
@@ -285,15 +285,15 @@
     # up a write that can still be committed.
     cluster = settled_cluster()
     cluster.table_up = False
-    node = cluster.nodes["seats-0"]
-    node.core.set_target_state(False)
-    assert cluster.run(3, lambda: node.core.pending is not None) is not None
-    pending = node.core.pending
+    daemon = cluster.daemons["seats-0"]
+    daemon.core.set_target_state(False)
+    assert cluster.run(3, lambda: daemon.core.pending is not None) is not None
+    pending = daemon.core.pending
     conflict = effects.CommitState.CONFLICT
-    node.core.handle_commit_result(
-        "earlier", conflict, [], node.clock(cluster.now)
+    daemon.core.handle_commit_result(
+        "earlier", conflict, [], daemon.clock(cluster.now)
     )
-    assert node.core.pending is pending
+    assert daemon.core.pending is pending
 
 
 CUTS = {
@@ -305,85 +305,88 @@
 
 
 def inject_fault(cluster, rng):
-    node = cluster.nodes[rng.choice(sorted(cluster.nodes))]
+    daemon = cluster.daemons[rng.choice(sorted(cluster.daemons))]
     fault = rng.choice(FAULTS)
-    alive = sum(other.alive for other in cluster.nodes.values())
-    if fault == "restart" or not node.alive:
-        cluster.restart(node.name)
+    alive = sum(other.alive for other in cluster.daemons.values())
+    if fault == "restart" or not daemon.alive:
+        cluster.restart(daemon.name)
     elif fault == "kill" and alive > 4:
-        cluster.kill(node.name)
+        cluster.kill(daemon.name)
     elif fault == "pause":
-        node.paused = True
-        cluster.later(
-            rng.uniform(0.1, 3), lambda: setattr(node, "paused", False)
+        daemon.paused = True
+        cluster.schedule(
+            rng.uniform(0.1, 3), lambda: setattr(daemon, "paused", False)
         )
     elif fault in CUTS:
-        cluster.cut(node.name, *CUTS[fault])
-        cluster.later(rng.uniform(0.1, 3), lambda: cluster.join(node.name))
+        cluster.cut(daemon.name, *CUTS[fault])
+        cluster.schedule(
+            rng.uniform(0.1, 3), lambda: cluster.reconnect(daemon.name)
+        )
     elif fault == "table":
         cluster.table_up = False
-        cluster.later(
+        cluster.schedule(
             rng.uniform(0.2, 6), lambda: setattr(cluster, "table_up", True)
         )
     elif fault == "busy":
-        node.busy = set(range(16))
-        cluster.later(1, node.busy.clear)
+        daemon.busy_slots = set(range(16))
+        cluster.schedule(1, daemon.busy_slots.clear)
 
 
 def end_faults(cluster):
-    cluster.drop = cluster.lose_answers = 0.0
-    cluster.max_delay = 0.004
+    cluster.message_loss_rate = cluster.answer_loss_rate = 0.0
+    cluster.max_message_delay = 0.004
     cluster.run(8)
-    for node in list(cluster.nodes.values()):
-        node.busy = set()
-        node.paused = False
-        cluster.join(node.name)
-        if not node.alive:
-            cluster.restart(node.name)
+    for daemon in list(cluster.daemons.values()):
+        daemon.busy_slots = set()
+        daemon.paused = False
+        cluster.reconnect(daemon.name)
+        if not daemon.alive:
+            cluster.restart(daemon.name)
     cluster.table_up = True
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_random_faults_cause_no_second_owner_and_all_slots_recover(seed):
     rng = random.Random(seed)
-    cluster = world.World(seed=seed)
+    cluster = simulation.Simulation(seed=seed)
     cluster.deploy(rng.choice([5, 6, 7]))
-    assert cluster.run(20, cluster.settled) is not None
-    cluster.drop = rng.choice([0, 0, 0.05, 0.2])
-    cluster.lose_answers = rng.choice([0, 0.3, 0.6])
-    cluster.max_delay = rng.choice([0.004, 0.05, 0.3])
+    assert cluster.run(20, cluster.is_balanced) is not None
+    cluster.message_loss_rate = rng.choice([0, 0, 0.05, 0.2])
+    cluster.answer_loss_rate = rng.choice([0, 0.3, 0.6])
+    cluster.max_message_delay = rng.choice([0.004, 0.05, 0.3])
     for _ in range(25):
         inject_fault(cluster, rng)
         cluster.run(rng.uniform(0.05, 2.0))
     end_faults(cluster)
-    assert cluster.double == []
-    assert cluster.run(30, cluster.settled) is not None
-    assert cluster.double == []
+    assert cluster.violations == []
+    assert cluster.run(30, cluster.is_balanced) is not None
+    assert cluster.violations == []
 
 
 def _owners(cluster):
-    return {slot: cluster.serving(slot) for slot in range(32)}
+    return {slot: cluster.serving_daemons(slot) for slot in range(32)}
 
 
 def test_daemons_restarted_all_at_once_get_their_slots_back():
-    cluster = world.World(seed=4)
+    cluster = simulation.Simulation(seed=4)
     cluster.deploy(5)
-    assert cluster.run(20, cluster.settled) is not None
+    assert cluster.run(20, cluster.is_balanced) is not None
     before = _owners(cluster)
-    for name in list(cluster.nodes):
+    for name in list(cluster.daemons):
         cluster.restart(name)
 
     def is_reachable(name):
         return any(
-            node.core.incarnation == name for node in cluster.nodes.values()
+            daemon.core.incarnation == name
+            for daemon in cluster.daemons.values()
         )
 
-    for node in cluster.nodes.values():
+    for daemon in cluster.daemons.values():
         # The old incarnations are not reachable.
-        node.core.is_reachable = is_reachable
-    assert cluster.run(2.5, cluster.all_served) is not None
+        daemon.core.is_reachable = is_reachable
+    assert cluster.run(2.5, cluster.all_slots_served) is not None
     assert _owners(cluster) == before
-    assert not cluster.double
+    assert not cluster.violations
 
 
 def _set_reachability(cluster):
@@ -391,199 +394,201 @@
 
     def is_reachable(name):
         return any(
-            node.alive and node.core.incarnation == name
-            for node in cluster.nodes.values()
+            daemon.alive and daemon.core.incarnation == name
+            for daemon in cluster.daemons.values()
         )
 
-    for node in cluster.nodes.values():
-        node.core.is_reachable = is_reachable
+    for daemon in cluster.daemons.values():
+        daemon.core.is_reachable = is_reachable
 
 
 def test_an_owner_lost_with_its_witnesses_is_replaced_unattended():
-    cluster = world.World(seed=5, anchor=5.0)
+    cluster = simulation.Simulation(seed=5, anchor=5.0)
     cluster.deploy(7)
     _set_reachability(cluster)
-    assert cluster.run(20, cluster.settled) is not None
-    owner = next(iter(cluster.nodes.values()))
+    assert cluster.run(20, cluster.is_balanced) is not None
+    owner = next(iter(cluster.daemons.values()))
     record = owner.core.view.lease(owner.core.incarnation)
     lost = {owner.core.incarnation, *record.witnesses}
-    for name, node in list(cluster.nodes.items()):
-        if node.core.incarnation in lost:
+    for name, daemon in list(cluster.daemons.items()):
+        if daemon.core.incarnation in lost:
             cluster.kill(name)
-    assert not cluster.all_served()
+    assert not cluster.all_slots_served()
     limit = effects.challenge_timeout(owner.core.settings)
-    taken = cluster.run(limit + 8, cluster.all_served)
+    taken = cluster.run(limit + 8, cluster.all_slots_served)
     assert taken is not None
     assert taken > 5.0
-    assert not cluster.double
+    assert not cluster.violations
 
 
 def test_a_running_owner_answers_a_challenge_and_keeps_its_slots():
-    cluster = world.World(seed=6, anchor=3.0)
+    cluster = simulation.Simulation(seed=6, anchor=3.0)
     cluster.deploy(5)
-    assert cluster.run(20, cluster.settled) is not None
+    assert cluster.run(20, cluster.is_balanced) is not None
     before = _owners(cluster)
-    victim = next(iter(cluster.nodes.values())).core.incarnation
-    for node in cluster.nodes.values():
-        node.core.is_reachable = lambda name: name != victim
+    victim = next(iter(cluster.daemons.values())).core.incarnation
+    for daemon in cluster.daemons.values():
+        daemon.core.is_reachable = lambda name: name != victim
     cluster.run(8)
     assert cluster.events("commit")
     kinds = [fields["kind"] for fields in cluster.events("commit")]
     assert "answer" in kinds
     assert "condemn" not in kinds
     assert _owners(cluster) == before
-    assert not cluster.double
+    assert not cluster.violations
 
 
 def test_an_owner_that_cannot_answer_a_challenge_stops_before_it_is_closed():
-    cluster = world.World(seed=10, anchor=3.0)
+    cluster = simulation.Simulation(seed=10, anchor=3.0)
     cluster.deploy(7)
-    assert cluster.run(20, cluster.settled) is not None
-    victim = next(iter(cluster.nodes.values()))
+    assert cluster.run(20, cluster.is_balanced) is not None
+    victim = next(iter(cluster.daemons.values()))
     name = victim.core.incarnation
-    for node in cluster.nodes.values():
-        node.core.is_reachable = lambda other: other != name
-    victim.read_only = True
-    other = cluster.nodes["seats-1"]
+    for daemon in cluster.daemons.values():
+        daemon.core.is_reachable = lambda other: other != name
+    victim.writes_lost = True
+    other = cluster.daemons["seats-1"]
     assert cluster.run(6, lambda: name in other.core.view.challenges())
     # The owner reads the challenge until shortly before its record is closed.
     cluster.run(effects.challenge_timeout(victim.core.settings) - 0.5)
-    victim.blind = True
+    victim.table_isolated = True
     cluster.run(4)
     kinds = [fields["kind"] for fields in cluster.events("commit")]
     assert "condemn" in kinds
-    assert not cluster.double
+    assert not cluster.violations
 
 
 def test_an_owner_without_the_table_stops_after_the_anchor_time():
-    cluster = world.World(seed=7, anchor=3.0)
+    cluster = simulation.Simulation(seed=7, anchor=3.0)
     cluster.deploy(5)
-    assert cluster.run(20, cluster.settled) is not None
+    assert cluster.run(20, cluster.is_balanced) is not None
     cluster.table_up = False
     cluster.run(2.4)
-    assert cluster.all_served()
+    assert cluster.all_slots_served()
     cluster.run(1.5)
-    assert not any(cluster.serving(slot) for slot in range(32))
+    assert not any(cluster.serving_daemons(slot) for slot in range(32))
     cluster.table_up = True
-    assert cluster.run(3, cluster.all_served) is not None
+    assert cluster.run(3, cluster.all_slots_served) is not None
 
 
 def test_a_process_that_released_its_lease_is_still_a_witness():
     # Two daemons release their leases while the table is unavailable. The
     # others keep theirs, with the grants of the two.
-    cluster = world.World(seed=8)
+    cluster = simulation.Simulation(seed=8)
     cluster.deploy(5)
-    assert cluster.run(20, cluster.settled) is not None
+    assert cluster.run(20, cluster.is_balanced) is not None
     before = _owners(cluster)
     cluster.table_up = False
-    gone = list(cluster.nodes)[:2]
+    gone = list(cluster.daemons)[:2]
     for name in gone:
-        node = cluster.nodes[name]
-        node.core.set_target_state(False)
-        node.core.release_lease(node.clock(cluster.now))
+        daemon = cluster.daemons[name]
+        daemon.core.set_target_state(False)
+        daemon.core.release_lease(daemon.clock(cluster.now))
     cluster.run(8)
     for slot, owners in before.items():
         if owners[0] not in gone:
-            assert cluster.serving(slot) == owners
-    assert not cluster.double
+            assert cluster.serving_daemons(slot) == owners
+    assert not cluster.violations
 
 
 def test_a_lost_lease_ends_the_release_of_slots():
     # If a target restarts before it has released the slots, they must not
     # stay out of use under the next lease.
-    cluster = world.World(seed=10, ordered_keys=True)
+    cluster = simulation.Simulation(seed=10, ordered_keys=True)
     cluster.deploy(4)
-    assert cluster.run(20, cluster.settled) is not None
-    node = cluster.nodes["seats-0"]
+    assert cluster.run(20, cluster.is_balanced) is not None
+    daemon = cluster.daemons["seats-0"]
     cluster.targets_release = False
-    node.core.set_target_state(False)
+    daemon.core.set_target_state(False)
     cluster.run(1)
-    assert node.core.is_releasing_slots
-    node.core.take_effects()
-    node.core.release_lease(node.clock(cluster.now))
-    assert not node.core.is_releasing_slots
-    assert effects.ReleaseSlots(frozenset()) in node.core.take_effects()
+    assert daemon.core.is_releasing_slots
+    daemon.core.take_effects()
+    daemon.core.release_lease(daemon.clock(cluster.now))
+    assert not daemon.core.is_releasing_slots
+    assert effects.ReleaseSlots(frozenset()) in daemon.core.take_effects()
 
 
 def test_pinned_slots_are_not_moved():
-    cluster = world.World(seed=9, ordered_keys=True)
+    cluster = simulation.Simulation(seed=9, ordered_keys=True)
     cluster.deploy(4)
-    assert cluster.run(20, cluster.settled) is not None
-    node = cluster.nodes["seats-0"]
-    stays = sorted(node.core.owned)[0]
-    node.busy = {stays}
-    node.core.set_target_state(False)
+    assert cluster.run(20, cluster.is_balanced) is not None
+    daemon = cluster.daemons["seats-0"]
+    stays = sorted(daemon.core.owned)[0]
+    daemon.busy_slots = {stays}
+    daemon.core.set_target_state(False)
     cluster.run(6)
-    assert sorted(node.core.owned) == [stays]
+    assert sorted(daemon.core.owned) == [stays]
 
 
 @pytest.mark.parametrize("seed", range(11, 17))
 def test_keys_whose_witnesses_were_lost_are_served_soon_after_an_outage(seed):
-    cluster = world.World(seed=seed, anchor=18.0, linger=0.0)
+    cluster = simulation.Simulation(seed=seed, anchor=18.0, linger=0.0)
     cluster.deploy(6)
-    assert cluster.run(20, cluster.settled) is not None
-    owner = cluster.nodes["seats-0"]
+    assert cluster.run(20, cluster.is_balanced) is not None
+    owner = cluster.daemons["seats-0"]
     record = owner.core.view.lease(owner.core.incarnation)
     cluster.table_up = False
     lost = [
         name
-        for name, node in cluster.nodes.items()
-        if node.core.incarnation in record.witnesses[:2]
+        for name, daemon in cluster.daemons.items()
+        if daemon.core.incarnation in record.witnesses[:2]
     ]
     for name in lost:
         cluster.kill(name)
     alive = {
-        node.core.incarnation for node in cluster.nodes.values() if node.alive
+        daemon.core.incarnation
+        for daemon in cluster.daemons.values()
+        if daemon.alive
     }
     # Slots whose owner and successor are both running. The others wait until
     # the leases of the killed daemons have ended.
     expected = {
         slot
-        for node in cluster.nodes.values()
-        if node.alive
-        for slot, held in _holdings(node).items()
+        for daemon in cluster.daemons.values()
+        if daemon.alive
+        for slot, held in _holdings(daemon).items()
         if held.successor in alive
     }
     cluster.run(4)
-    assert not all(cluster.serving(slot) for slot in expected)
+    assert not all(cluster.serving_daemons(slot) for slot in expected)
     cluster.table_up = True
     for name in lost:
         cluster.restart(name)
     again = cluster.run(
         MAX_RECOVERY_S,
-        lambda: all(cluster.serving(slot) for slot in expected),
+        lambda: all(cluster.serving_daemons(slot) for slot in expected),
     )
     assert again is not None
-    assert not cluster.double
+    assert not cluster.violations
 
 
-def _holdings(node):
-    record = node.core.view.lease(node.core.incarnation)
+def _holdings(daemon):
+    record = daemon.core.view.lease(daemon.core.incarnation)
     return slots.expand(record.runs)
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_after_a_restart_of_all_each_key_is_served_within_a_second(seed):
-    cluster = world.World(seed, ordered_keys=True, linger=0.0)
+    cluster = simulation.Simulation(seed, ordered_keys=True, linger=0.0)
     cluster.deploy(5)
-    assert cluster.run(20, cluster.settled) is not None
-    for name in list(cluster.nodes):
+    assert cluster.run(20, cluster.is_balanced) is not None
+    for name in list(cluster.daemons):
         cluster.kill(name)
     cluster.run(0.5)
-    for name in list(cluster.nodes):
+    for name in list(cluster.daemons):
         cluster.restart(name)
     _set_reachability(cluster)
-    served = cluster.run(3, cluster.all_served)
+    served = cluster.run(3, cluster.all_slots_served)
     assert served is not None
     assert served <= 1.0
-    assert not cluster.double
+    assert not cluster.violations
 
 
 def test_slots_without_a_service_record_cause_an_urgent_read():
     cluster = settled_cluster()
-    node = cluster.restart("seats-0")
-    clock = node.clock(cluster.now)
-    core = node.core
+    daemon = cluster.restart("seats-0")
+    clock = daemon.clock(cluster.now)
+    core = daemon.core
     core.take_effects()
     record = records.LeaseRecord(
         service="seats",
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -14,7 +14,7 @@
 class Timers:
     """Timers that never fire."""
 
-    def each_turn(self, call):
+    def each_iteration(self, call):
         pass
 
     def every(self, seconds, call):
--- a/tests/platform/test_operations.py
+++ b/tests/platform/test_operations.py
@@ -9,7 +9,7 @@
 import pytest
 from click import testing
 
-from standins import site as site_lib
+from standins import platformcluster
 from tamarackgap.commands import cmdline
 
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "OPERATIONS.md"
@@ -18,9 +18,9 @@
 
 
 @pytest.fixture(scope="module")
-def site(tmp_path_factory):
-    with site_lib.running(
-        tmp_path_factory.mktemp("site"),
+def cluster(tmp_path_factory):
+    with platformcluster.run_cluster(
+        tmp_path_factory.mktemp("cluster"),
         [
             ("north", "seats", False),
             ("south", "money", True),
@@ -37,11 +37,11 @@
     return text.split("\n## ")[0]
 
 
-def _lines(site, event, **fields):
+def _lines(cluster, event, **fields):
     """Returns the fields of each log line of an event, of all daemons."""
     lines = []
-    for place in site.places:
-        for line in place.log.read_text(errors="replace").splitlines():
+    for node in cluster.nodes:
+        for line in node.log.read_text(errors="replace").splitlines():
             pairs = dict(re.findall(r'(\w+)=("[^"]*"|\S*)', line))
             if pairs.get("event") == event and all(
                 pairs.get(name) == value for name, value in fields.items()
@@ -50,10 +50,12 @@
     return lines
 
 
-def _logged(site, event, **fields):
+def _logged(cluster, event, **fields):
     """Waits for log lines of an event, and returns their fields."""
-    assert site_lib.wait(LOG_WAIT_S, lambda: _lines(site, event, **fields))
-    return _lines(site, event, **fields)
+    assert platformcluster.wait_until(
+        LOG_WAIT_S, lambda: _lines(cluster, event, **fields)
+    )
+    return _lines(cluster, event, **fields)
 
 
 def _reasons(title):
@@ -61,15 +63,15 @@
     return set(re.findall(r"`(?:reason=)?([a-z][a-z_-]+)`", _section(title)))
 
 
-def test_refused_as_full(site):
-    north = site.places[0]
+def test_refused_as_full(cluster):
+    north = cluster.nodes[0]
     north.server.work_s = 0.4
     try:
         with concurrent.futures.ThreadPoolExecutor(40) as pool:
             answers = list(
                 pool.map(
-                    lambda _: site_lib.call(
-                        site.places[1],
+                    lambda _: platformcluster.send_caller_request(
+                        cluster.nodes[1],
                         "seats.example",
                         "/browse/x",
                         timeout_ms=600,
@@ -82,10 +84,10 @@
     refused = [answer for answer in answers if answer[0] == 503]
     assert refused
     request = refused[-1][3]
-    (line, *_) = _logged(site, "request", request=request)
+    (line, *_) = _logged(cluster, "request", request=request)
     assert line["reason"] in _reasons("Refused as full")
     assert line["verdict"] == "not-run"
-    (call, *_) = _logged(site, "call", request=request)
+    (call, *_) = _logged(cluster, "call", request=request)
     assert call["daemon"] == "north"
     assert int(call["running"]) >= 8
     assert int(call["waiting"]) > 0
@@ -94,26 +96,28 @@
     assert needed > int(call["left_ms"]) * 0.5
 
 
-def test_answered_502_after_it_may_have_run(site):
+def test_answered_502_after_it_may_have_run(cluster):
     title = "Answered 502 or 504 after it may have run"
     owner = next(
-        place for place in site.places if place.keyed and place.server.holds(5)
+        node for node in cluster.nodes if node.keyed and node.server.holds(5)
     )
     owner.server.fault = "cut"
     try:
-        response = site_lib.call(
-            site.places[0], "money.example", "/pay", key=5, method="POST"
+        response = platformcluster.send_caller_request(
+            cluster.nodes[0], "money.example", "/pay", key=5, method="POST"
         )
     finally:
         owner.server.fault = ""
     assert response[0] == 502
-    (line, *_) = _logged(site, "request", request=response[3])
+    (line, *_) = _logged(cluster, "request", request=response[3])
     assert line["verdict"] == "may-have-run"
-    (call, *_) = _logged(site, "call", request=response[3])
+    (call, *_) = _logged(cluster, "call", request=response[3])
     assert call["daemon"] == owner.name
     assert call["reason"] in _reasons(title)
     # A single answer failed; the target is still running.
-    assert not _lines(site, "target_changed", daemon=owner.name, change="lost")
+    assert not _lines(
+        cluster, "target_changed", daemon=owner.name, change="lost"
+    )
 
 
 def _run(*words):
@@ -121,49 +125,54 @@
     return invocation.exit_code, json.loads(invocation.stdout or "null")
 
 
-def test_operator_commands_work_on_routers(site):
-    place = next(place for place in site.places if place.server.holds(30_000))
-    code, status = _run("status", "--daemon", place.metrics)
+def test_operator_commands_work_on_routers(cluster):
+    node = next(node for node in cluster.nodes if node.server.holds(30_000))
+    code, status = _run("status", "--daemon", node.metrics_address)
     assert code == 0
-    assert (status["daemon"], status["phase"]) == (place.name, "serving")
+    assert (status["daemon"], status["phase"]) == (node.name, "serving")
     code, explanation = _run(
-        "explain", "30000", "--daemon", place.metrics, "--service", "money"
+        "explain",
+        "30000",
+        "--daemon",
+        node.metrics_address,
+        "--service",
+        "money",
     )
     assert code == 0
-    assert (explanation["daemon"], explanation["here"]) == (place.name, True)
-    other = site.places[0].metrics
+    assert (explanation["daemon"], explanation["here"]) == (node.name, True)
+    other = cluster.nodes[0].metrics_address
     explanation = _run(
         "explain", "30000", "--daemon", other, "--service", "money"
     )[1]
-    assert (explanation["daemon"], explanation["here"]) == (place.name, False)
+    assert (explanation["daemon"], explanation["here"]) == (node.name, False)
     code, rows = _run("owners", "--daemon", other, "--service", "money")
     assert code == 0
     owned = {row["daemon"]: row["slots"] for row in rows if row["slots"]}
     assert sum(owned.values()) == 32
-    assert place.name in owned
+    assert node.name in owned
 
 
 @pytest.mark.parametrize("key", ["70000", "x"])
-def test_an_invalid_key_is_reported_in_one_line(site, key):
+def test_an_invalid_key_is_reported_in_one_line(cluster, key):
     words = ["explain", key, "--service", "money", "--daemon"]
     invocation = testing.CliRunner().invoke(
-        cmdline.cli, [*words, site.places[0].metrics]
+        cmdline.cli, [*words, cluster.nodes[0].metrics_address]
     )
     assert invocation.exit_code != 0
     assert len(invocation.output.splitlines()) == 1
 
 
-def test_a_key_without_an_owner_during_a_takeover(site):
+def test_a_key_without_an_owner_during_a_takeover(cluster):
     title = "A key without an owner"
     owner = next(
-        place
-        for place in site.places
-        if place.keyed and place.server.holds(30_000)
+        node
+        for node in cluster.nodes
+        if node.keyed and node.server.holds(30_000)
     )
     owner.kill()
     time.sleep(0.3)
-    response = site_lib.call(
-        site.places[0],
+    response = platformcluster.send_caller_request(
+        cluster.nodes[0],
         "money.example",
         "/pay",
         key=30_000,
@@ -172,18 +181,18 @@
     )
     try:
         assert response[0] in (502, 503, 504)
-        (line, *_) = _logged(site, "request", request=response[3])
+        (line, *_) = _logged(cluster, "request", request=response[3])
         assert line["reason"] in _reasons(title)
         lost_owner = line["owner"]
         # The log line of the owner's start names its daemon.
-        (start, *_) = _logged(site, "started", incarnation=lost_owner)
+        (start, *_) = _logged(cluster, "started", incarnation=lost_owner)
         assert start["daemon"] == owner.name
         assert {"takeover_begun", "taken_over"} <= _reasons(title)
-        _logged(site, "takeover_begun", owner=lost_owner)
-        takeovers = _logged(site, "taken_over", owner=lost_owner)
+        _logged(cluster, "takeover_begun", owner=lost_owner)
+        takeovers = _logged(cluster, "taken_over", owner=lost_owner)
         assert {takeover["daemon"] for takeover in takeovers} <= {
-            place.name for place in site.places if place.keyed
+            node.name for node in cluster.nodes if node.keyed
         }
     finally:
         owner.start()
-    assert site_lib.wait(READY_S, site.works)
+    assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
--- a/tests/platform/test_operatorconfig.py
+++ b/tests/platform/test_operatorconfig.py
@@ -1,18 +1,20 @@
 import json
 
-from standins import site
+from standins import platformcluster
 from tamarackgap.platform import operatorconfig
 
 
 def test_a_configuration_is_decoded():
-    split = site.route("r", "H.example", "/a/", "", priority=0)
+    split = platformcluster.route("r", "H.example", "/a/", "", priority=0)
     del split["spec"]["service"]
     split["spec"]["traffic_split"] = [
         {"service": "a", "weight": 90},
         {"service": "b", "weight": 10},
     ]
     table = operatorconfig.decode(
-        site.configuration(18, split, site.service("a", keyed=True))
+        platformcluster.configuration(
+            18, split, platformcluster.service("a", keyed=True)
+        )
     )
     (route,) = table.routes
     assert table.version == 18
@@ -22,7 +24,7 @@
     ]
     assert (route.timeout, route.latency_objective, route.rank) == (2.0, 0.4, 0)
     assert table.services["a"].keyed
-    assert table.limits.request_s == 0.5
+    assert table.limits.request_timeout_s == 0.5
 
 
 def test_versions_are_hexadecimal():
@@ -33,11 +35,13 @@
 
 
 def test_an_unreadable_resource_is_left_out():
-    good = site.route("good", "h", "/", "a")
+    good = platformcluster.route("good", "h", "/", "a")
     bad = {"type": "routes", "metadata": {"name": "bad"}, "spec": {"host": 3}}
-    odd = site.route("odd", "h", "/odd/", "a")
+    odd = platformcluster.route("odd", "h", "/odd/", "a")
     odd["spec"]["kind"] = "sometimes"
-    table = operatorconfig.decode(site.configuration(1, bad, good, odd))
+    table = operatorconfig.decode(
+        platformcluster.configuration(1, bad, good, odd)
+    )
     assert [route.name for route in table.routes] == ["good"]
 
 
--- a/tests/platform/test_requests.py
+++ b/tests/platform/test_requests.py
@@ -1,7 +1,7 @@
 import pytest
 
 from tamarackgap import types
-from tamarackgap.network import httplink
+from tamarackgap.network import httppool
 from tamarackgap.platform import requests
 
 
@@ -10,7 +10,7 @@
         (name.replace("_", "-").encode(), value)
         for name, value in headers.items()
     ]
-    return requests.decode_answer(1, httplink.Answer(status, header_pairs, b""))
+    return requests.decode_answer(1, httppool.Answer(status, header_pairs, b""))
 
 
 @pytest.mark.parametrize(
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -4,7 +4,7 @@
 import pytest
 from returns import result
 
-from tamarackgap.network import exchanges, httplink
+from tamarackgap.network import exchanges, httppool
 from tamarackgap.platform import store
 
 # An owner must read the table at least this often.
@@ -66,7 +66,7 @@
             ],
         }
         data = json.dumps(body).encode("utf-8")
-        self.calls[-1][2](result.Success(httplink.Answer(200, [], data)))
+        self.calls[-1][2](result.Success(httppool.Answer(200, [], data)))
 
 
 @pytest.fixture
--- a/tests/processes/test_daemon.py
+++ b/tests/processes/test_daemon.py
@@ -12,14 +12,14 @@
 from demo import cluster
 from tamarackgap.commands import cmdline
 from tamarackgap.peers import messages
-from tests.support import callers, processes
+from tests.support import callers, clusters
 
 BODY_LIMIT = 20_000
 
 
 @pytest.fixture(scope="module")
 def live_cluster(tmp_path_factory):
-    started = processes.small_cluster(
+    started = clusters.small_cluster(
         tmp_path_factory.mktemp("cluster"),
         body=BODY_LIMIT,
         answer=30_000,
@@ -30,7 +30,7 @@
 
 
 def is_serving(live_cluster):
-    status, verdict, data = callers.ask(
+    status, verdict, data = callers.send_request(
         live_cluster.places[0], "GET", "/v1/seats/browse?key=still-works"
     )
     return status == 200 and json.loads(data)["key"] == "still-works"
@@ -41,7 +41,7 @@
         for service in ("seats", "payments"):
             key = f"hall {index} ghế"
             path = f"/v1/{service}/x?key=" + "hall%20{}%20gh%E1%BA%BF"
-            status, verdict, data = callers.ask(
+            status, verdict, data = callers.send_request(
                 place, "GET", path.format(index)
             )
             assert (status, verdict) == (200, "answered")
@@ -52,9 +52,9 @@
 
 def test_all_daemons_send_a_key_to_the_same_target(live_cluster):
     targets = {
-        json.loads(callers.ask(place, "GET", "/v1/seats/x?key=one")[2])[
-            "target"
-        ]
+        json.loads(
+            callers.send_request(place, "GET", "/v1/seats/x?key=one")[2]
+        )["target"]
         for place in live_cluster.places
     }
     assert len(targets) == 1
@@ -64,7 +64,7 @@
     request = f"{int(time.time() * 1000)}-fee"
     path = "/v1/payments/pay?key=family-1"
     first, second = (
-        callers.ask(
+        callers.send_request(
             live_cluster.places[entry],
             "POST",
             path,
@@ -98,7 +98,9 @@
 def test_bad_input_is_refused_with_a_reason(
     live_cluster, path, headers, status, reason
 ):
-    response = callers.ask(live_cluster.places[1], "GET", path, **headers)
+    response = callers.send_request(
+        live_cluster.places[1], "GET", path, **headers
+    )
     assert response[:2] == (status, "not-run")
     assert json.loads(response[2])["reason"] == reason
     assert is_serving(live_cluster)
@@ -106,7 +108,7 @@
 
 @pytest.mark.parametrize("size", [BODY_LIMIT + 1, 10 * BODY_LIMIT])
 def test_a_body_over_the_limit_is_refused(live_cluster, size):
-    response = callers.ask(
+    response = callers.send_request(
         live_cluster.places[1], "POST", "/v1/seats/x?key=a", b"x" * size
     )
     assert response[:2] == (413, "not-run")
@@ -126,7 +128,7 @@
 def test_malformed_http_does_not_disturb_the_daemon(live_cluster, text):
     host, _, port = live_cluster.places[1].http.rpartition(":")
     with socket.create_connection(
-        (host, int(port)), timeout=callers.WAIT_S
+        (host, int(port)), timeout=callers.TIMEOUT_S
     ) as sock:
         sock.sendall(text)
         answer = sock.recv(200)
@@ -143,7 +145,7 @@
         push.linger = 2000
         push.connect(f"tcp://{place.peer}")
         push.send(frame)
-        callers.eventually(
+        callers.wait_until(
             lambda: log.read_text().count("event=peer_frame_malformed") > before
         )
     assert is_serving(live_cluster)
@@ -160,7 +162,7 @@
     with zmq.Context() as context, context.socket(zmq.PUSH) as push:
         push.connect(f"tcp://{place.peer}")
         push.send(frame)
-        callers.eventually(
+        callers.wait_until(
             lambda: (
                 "event=peer_of_other_deployment deployment=elsewhere"
                 in log.read_text()
@@ -182,7 +184,7 @@
     place = callers.owner_of(live_cluster, "payments", "k1")
     cluster.call(place.target, "POST", "/faults", fault)
     try:
-        response = callers.ask(
+        response = callers.send_request(
             live_cluster.places[0], "POST", "/v1/payments/pay?key=k1"
         )
     finally:
@@ -191,7 +193,9 @@
     assert response[:2] == (504, "may-have-run")
     assert json.loads(response[2])["reason"] == reason
     assert (
-        callers.ask(live_cluster.places[0], "GET", "/v1/payments/x?key=k1")[0]
+        callers.send_request(
+            live_cluster.places[0], "GET", "/v1/payments/x?key=k1"
+        )[0]
         == 200
     )
 
@@ -206,7 +210,7 @@
             "connections": 1,
         }
     )
-    response = callers.ask(
+    response = callers.send_request(
         live_cluster.places[0], "POST", "/announce", body.encode()
     )
     assert response[0] == 400
@@ -214,13 +218,17 @@
 
 
 def test_metrics_are_served(live_cluster):
-    status, _, text = callers.ask(live_cluster.places[0], "GET", "/metrics")
+    status, _, text = callers.send_request(
+        live_cluster.places[0], "GET", "/metrics"
+    )
     assert status == 200
     assert b"tamarackgap_owned_slots" in text
 
 
 def test_the_log_line_of_a_request_has_its_fields(live_cluster):
-    callers.ask(live_cluster.places[0], "GET", "/v1/seats/x?key=logged-key")
+    callers.send_request(
+        live_cluster.places[0], "GET", "/v1/seats/x?key=logged-key"
+    )
     log = live_cluster.folder / f"{live_cluster.places[0].name}.log"
     lines = log.read_text().splitlines()
     line = next(
@@ -254,12 +262,12 @@
     place.daemon_process.send_signal(signal.SIGKILL)
     place.daemon_process.wait()
     others = [other for other in live_cluster.places if other is not place]
-    response = callers.ask(
+    response = callers.send_request(
         others[0], "GET", "/v1/seats/x?key=k2", X_Deadline_Ms="20000"
     )
     assert response[0] == 200
     live_cluster.start_daemon(place)
-    assert live_cluster.ready(processes.READY_S) is not None
+    assert live_cluster.ready(clusters.READY_TIMEOUT_S) is not None
 
 
 def test_a_draining_daemon_drops_no_request_and_exits_with_0(live_cluster):
@@ -268,18 +276,18 @@
     place.daemon_process.send_signal(signal.SIGTERM)
     for number in range(20):
         path = f"/v1/payments/pay?key=k{number}"
-        assert callers.ask(others[number % 5], "POST", path)[0] == 200
-    assert place.daemon_process.wait(timeout=callers.WAIT_S) == 0
+        assert callers.send_request(others[number % 5], "POST", path)[0] == 200
+    assert place.daemon_process.wait(timeout=callers.TIMEOUT_S) == 0
     out = (live_cluster.folder / f"daemon-{place.name}.out").read_text()
     assert "leaked" not in out
     live_cluster.start_daemon(place)
-    assert live_cluster.ready(processes.READY_S) is not None
+    assert live_cluster.ready(clusters.READY_TIMEOUT_S) is not None
 
 
 def test_an_address_in_use_is_reported_without_traceback(live_cluster):
     place = live_cluster.places[0]
     process = live_cluster.run_again(place)
-    assert process.wait(timeout=callers.WAIT_S) == 1
+    assert process.wait(timeout=callers.TIMEOUT_S) == 1
     out = (live_cluster.folder / f"again-{place.name}.out").read_text()
     assert "cannot start" in out
     assert "Traceback" not in out
--- a/tests/soak/test_run.py
+++ b/tests/soak/test_run.py
@@ -16,9 +16,9 @@
 
 @pytest.mark.parametrize(("seed", "seconds"), SEEDS)
 def test_every_promise_holds_under_faults_from_outside(tmp_path, seed, seconds):
-    verdict = run.run(tmp_path, seed, seconds)
-    story = "\n".join(verdict.story)
-    assert verdict.violations == [], story
+    result = run.run_seed(tmp_path, seed, seconds)
+    fault_log = "\n".join(result.fault_log)
+    assert result.violations == [], fault_log
     # Served again within the users' bound after the last fault.
-    assert verdict.recovered_s is not None, story
-    assert verdict.served > 0
+    assert result.recovery_s is not None, fault_log
+    assert result.served_share > 0
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -4,13 +4,13 @@
 import json
 import time
 
-WAIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
-def ask(place, method, path, body=b"", **headers):
+def send_request(place, method, path, body=b"", **headers):
     """Returns status, verdict and body of one request to a daemon."""
     host, _, port = place.http.rpartition(":")
-    link = http.client.HTTPConnection(host, int(port), timeout=WAIT_S)
+    link = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
     named = {name.replace("_", "-"): text for name, text in headers.items()}
     link.request(method, path, body, named)
     answer = link.getresponse()
@@ -19,9 +19,9 @@
     return answer.status, answer.headers["X-Verdict"], data
 
 
-def eventually(check):
+def wait_until(check):
     """Waits until something holds."""
-    give_up = time.monotonic() + WAIT_S
+    give_up = time.monotonic() + TIMEOUT_S
     while not check():
         assert time.monotonic() < give_up, "it did not come about"
         time.sleep(0.05)
@@ -30,5 +30,5 @@
 def owner_of(running, service, key, entry=0):
     """Returns the VM whose daemon owns a key."""
     path = f"/explain?service={service}&key={key}"
-    found = json.loads(ask(running.places[entry], "GET", path)[2])
+    found = json.loads(send_request(running.places[entry], "GET", path)[2])
     return running.place(found["daemon"])
--- a/tests/support/processes.py
+++ b/tests/support/clusters.py
@@ -3,7 +3,7 @@
 from demo import cluster, deployments
 from standins import ports
 
-SMALL = deployments.Deployment(
+SMALL_DEPLOYMENT = deployments.Deployment(
     name="small",
     data_centres=("north", "south", "east"),
     slots=4,
@@ -17,20 +17,27 @@
         deployments.Operation("payments", "POST", "pay", 40),
     ),
 )
-READY_S = 60.0
-FAST = {"ownership": {"slots": 32, "settle": 500}, "table": {"poll": 200}}
+READY_TIMEOUT_S = 60.0
+FAST_SETTINGS = {
+    "ownership": {"slots": 32, "settle": 500},
+    "table": {"poll": 200},
+}
 
 
 def small_cluster(folder, **requests):
     """Returns a started cluster whose slots are all owned."""
-    overrides = dict(FAST)
+    overrides = dict(FAST_SETTINGS)
     if requests:
         overrides["requests"] = requests
     running = cluster.Cluster(
-        SMALL, folder, ports.free_ports(32), work_ms=2.0, overrides=overrides
+        SMALL_DEPLOYMENT,
+        folder,
+        ports.free_ports(32),
+        work_ms=2.0,
+        overrides=overrides,
     )
     running.start()
-    if running.ready(READY_S) is None:
+    if running.ready(READY_TIMEOUT_S) is None:
         running.stop()
         raise RuntimeError("the cluster did not get ready")
     return running
--- a/tests/table/test_tablereader.py
+++ b/tests/table/test_tablereader.py
@@ -74,12 +74,12 @@
     timers, table, reader = make()
     reader.poll()
     timers.run(5.0)
-    assert not reader.is_silent(5.0)
+    assert not reader.is_unreachable(5.0)
     table.up = False
     timers.run(6.5)
-    assert not reader.is_silent(6.5)
+    assert not reader.is_unreachable(6.5)
     timers.run(13.0)
-    assert reader.is_silent(13.0)
+    assert reader.is_unreachable(13.0)
     table.up = True
     timers.run(19.0)
-    assert not reader.is_silent(19.0)
+    assert not reader.is_unreachable(19.0)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -8,7 +8,7 @@
 import pytest
 
 from demo import cluster
-from tests.support import callers, processes
+from tests.support import callers, clusters
 
 POISON = b"crash-the-target"
 # The first crash, and the one trial on its own.
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def running(tmp_path):
-    found = processes.small_cluster(tmp_path)
+    found = clusters.small_cluster(tmp_path)
     yield found
     found.stop()
 
@@ -32,7 +32,7 @@
     replies = []
     for number in range(9):
         replies.append(
-            callers.ask(
+            callers.send_request(
                 entries[number % 3],
                 "POST",
                 "/v1/seats/browse?key=k",
@@ -48,7 +48,7 @@
     assert replies[0][1] == "may-have-run"
     assert replies[-1][:2] == (422, "not-run")
     assert reasons[-1] == "crashes-targets"
-    fair = callers.ask(
+    fair = callers.send_request(
         entries[0], "GET", "/v1/seats/browse?key=k", X_Deadline_Ms="9000"
     )
     assert fair[0] == 200
@@ -79,13 +79,13 @@
     entry = next(p for p in running.places if p.service == "payments")
     place.target_process.send_signal(signal.SIGSTOP)
     try:
-        reply = callers.ask(
+        reply = callers.send_request(
             entry, "GET", "/v1/seats/browse?key=k", X_Deadline_Ms="20000"
         )
         assert reply[0] in (200, 504)
-        callers.eventually(
+        callers.wait_until(
             lambda: (
-                callers.ask(
+                callers.send_request(
                     entry,
                     "GET",
                     "/v1/seats/browse?key=k",
@@ -105,7 +105,7 @@
     lies = {"health": "dead", "load": 9999}
     cluster.call(place.target, "POST", "/faults", lies)
     entry = running.places[-1]
-    reply = callers.ask(entry, "GET", "/v1/seats/browse?key=k")
+    reply = callers.send_request(entry, "GET", "/v1/seats/browse?key=k")
     assert json.loads(reply[2])["target"] == place.name
 
 
@@ -114,7 +114,7 @@
     entry = running.places[-1]
     cluster.call(place.target, "POST", "/faults", {"silent": True})
     for _ in range(25):
-        reply = callers.ask(entry, "GET", "/v1/seats/browse?key=k")
+        reply = callers.send_request(entry, "GET", "/v1/seats/browse?key=k")
         assert json.loads(reply[2])["target"] == place.name
         place.target_process.poll()
         time.sleep(0.12)
@@ -124,7 +124,7 @@
     for place in running.places:
         if place.service == "payments":
             cluster.call(place.target, "POST", "/faults", {"shed": True})
-    reply = callers.ask(
+    reply = callers.send_request(
         running.places[0],
         "POST",
         "/v1/payments/pay?key=k",
@@ -149,13 +149,13 @@
             b"X-Request-Id: gone-1\r\nX-Attempt: 1\r\n"
             b"Content-Length: 0\r\n\r\n"
         )
-        callers.eventually(
+        callers.wait_until(
             lambda: any(
                 "request=gone-1" in line
                 for line in running.log_lines("handed_over")
             )
         )
-    callers.eventually(
+    callers.wait_until(
         lambda: any(
             "request=gone-1" in line for line in running.log_lines("request")
         )
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -10,7 +10,7 @@
 from demo import cluster, judge, load
 from tamarackgap.commands import control
 from tamarackgap.ownership import reports
-from tests.support import processes
+from tests.support import clusters
 
 SECONDS = 14.0
 RATE = 60.0
@@ -107,7 +107,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_every_promise_holds_under_faults(tmp_path, seed):
-    running = processes.small_cluster(tmp_path)
+    running = clusters.small_cluster(tmp_path)
     story = Story(running, seed)
     callers = load.Load(running, SECONDS, RATE, seed)
     try:
@@ -115,7 +115,7 @@
         faults.start()
         callers.run()
         faults.join()
-        assert running.ready(processes.READY_S, even=False) is not None
+        assert running.ready(clusters.READY_TIMEOUT_S, even=False) is not None
         evidence = judge.Evidence(
             callers.results,
             running.runs(),
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -31,7 +31,7 @@
         "operation": "POST /pay",
         **changed,
     }
-    return target_lib.Run(
+    return target_lib.RunRecord(
         request, fence=fence, begun=begun, at=at, target=target, **values
     )
 
--- a/tests/traffic/test_routetable.py
+++ b/tests/traffic/test_routetable.py
@@ -1,6 +1,6 @@
 import collections
 
-from tamarackgap.network import door
+from tamarackgap.network import httpserver
 from tamarackgap.traffic import routetable
 
 
@@ -14,7 +14,7 @@
 
 def index(*routes):
     return routetable.RouteIndex(
-        routetable.RouteTable(1, routes, {}, door.Limits())
+        routetable.RouteTable(1, routes, {}, httpserver.Limits())
     )
 
 
--- a/tests/traffic/test_runner.py
+++ b/tests/traffic/test_runner.py
@@ -5,7 +5,7 @@
 from returns import result
 
 from tamarackgap import types
-from tamarackgap.network import exchanges, httplink
+from tamarackgap.network import exchanges, httppool
 from tamarackgap.peers import calls
 from tamarackgap.traffic import crashes, runner
 
@@ -41,7 +41,7 @@
         self.renewals += 1
 
     def _send(self, data, timeout, done, belongs):
-        done(result.Success(httplink.Answer(503, [], b"")))
+        done(result.Success(httppool.Answer(503, [], b"")))
 
     def _decode_answer(self, leg, answer):
         return calls.Completion(leg, types.Verdict.NOT_RUN, self.reason)
@@ -124,7 +124,7 @@
             failure = exchanges.Failure(exchanges.Cause.CLOSED, True)
             self.sent[index](result.Failure(failure))
         else:
-            self.sent[index](result.Success(httplink.Answer(200, [], b"")))
+            self.sent[index](result.Success(httppool.Answer(200, [], b"")))
 
 
 def test_call_sent_after_crash_is_not_its_cause():
