--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -9,7 +9,7 @@
 
 def ask(place, method, path, body=b"", **headers):
     """Returns status, verdict and body of one request to a daemon."""
-    host, _, port = place.http.rpartition(":")
+    host, _, port = place.http_address.rpartition(":")
     link = http.client.HTTPConnection(host, int(port), timeout=WAIT_S)
     named = {name.replace("_", "-"): text for name, text in headers.items()}
     link.request(method, path, body, named)
@@ -30,5 +30,5 @@
 def owner_of(running, service, key, entry=0):
     """Returns the VM whose daemon owns a key."""
     path = f"/explain?service={service}&key={key}"
-    found = json.loads(ask(running.places[entry], "GET", path)[2])
-    return running.place(found["daemon"])
+    found = json.loads(ask(running.vms[entry], "GET", path)[2])
+    return running.vm(found["daemon"])
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -30,7 +30,7 @@
         SMALL, folder, ports.free_ports(32), work_ms=2.0, overrides=overrides
     )
     running.start()
-    if running.ready(READY_S) is None:
+    if running.wait_until_ready(READY_S) is None:
         running.stop()
         raise RuntimeError("the cluster did not get ready")
     return running
--- a/tests/test_bench_loads.py
+++ b/tests/test_bench_loads.py
@@ -13,13 +13,13 @@
 
 
 def _play(name, shipped=True):
-    return loads.Play(NAMES[name], shipped, 1).run()
+    return loads.Simulation(NAMES[name], shipped, 1).run()
 
 
 @pytest.mark.parametrize("name", NAMES)
 def test_more_callers_are_served_in_their_aim_than_before(name):
-    before = _play(name, shipped=False).served_in_aim
-    assert _play(name).served_in_aim >= before
+    before = _play(name, shipped=False).share_in_objective
+    assert _play(name).share_in_objective >= before
 
 
 @pytest.mark.parametrize("name", ["burst", "overload"])
@@ -29,18 +29,18 @@
 
 @pytest.mark.parametrize("name", ["burst", "overload", "one joins"])
 def test_most_refusals_are_told_at_once(name):
-    assert _play(name).held_for(0.9) <= TOLD_S
+    assert _play(name).refusal_delay(0.9) <= TOLD_S
 
 
 def test_a_target_that_joins_gets_calls_within_seconds():
     scenario = NAMES["one joins"]
-    started = _play("one joins").at_last
-    assert min(started) < scenario.joins + 1.0
+    started = _play("one joins").last_target_starts
+    assert min(started) < scenario.last_joins_at + 1.0
 
 
 def test_targets_that_lose_a_few_answers_go_on_being_used():
     # One call in 40 is lost whatever is chosen; there is room for all others.
-    assert _play("answers lost").served_in_aim >= 0.9
+    assert _play("answers lost").share_in_objective >= 0.9
 
 
 @pytest.mark.parametrize(
@@ -49,4 +49,4 @@
     [("many entries", 0.98), ("many entries, full", 0.93)],
 )
 def test_many_entries_do_not_send_to_the_same_idle_target(name, served):
-    assert _play(name).served_in_aim >= served
+    assert _play(name).share_in_objective >= served
--- a/tests/test_judge.py
+++ b/tests/test_checker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from demo import judge, load
+from demo import checker, load
 from standins import target as target_lib
 
 
@@ -10,12 +10,12 @@
     values = {
         "key": "k",
         "operation": "POST pay",
-        "safe": False,
+        "idempotent": False,
         "reason": "",
-        "wrong": "",
-        "sends": 1,
-        "begun": 0.0,
-        "seconds": 0.1,
+        "answer_error": "",
+        "attempts": 1,
+        "started_at": 0.0,
+        "latency_s": 0.1,
         "verdicts": (verdict,),
         **changed,
     }
@@ -36,11 +36,11 @@
     )
 
 
-GOOD = judge.Evidence([result()], [run()])
+GOOD = checker.History([result()], [run()])
 
 
 def test_a_good_history_has_no_violations():
-    assert not any(judge.judge(GOOD).values())
+    assert not any(checker.find_violations(GOOD).values())
 
 
 CASES = [
@@ -48,15 +48,19 @@
     ("fences_fall", [run(fence=2), run("r2", at=2.0, begun=1.9)], {}),
     ("fences_fall", [run(), run("r2", "pay-1", 1.9, 2.0)], {}),
     ("doubled", [run(), run(begun=2.0, at=2.1)], {}),
-    ("wrong_answers", [run()], {"results": [result(wrong="not whole")]}),
+    ("wrong_answers", [run()], {"results": [result(answer_error="not whole")]}),
     ("ran_though_not", [run()], {"results": [result(verdict="not-run")]}),
     ("answered_unrun", [], {}),
-    ("work_after_leaving", [run(begun=9.0, at=9.1)], {"left": {"pay-0": 5.0}}),
-    ("cut_by_shutdown", [run()], {"drained": {"pay-0": None}}),
+    (
+        "work_after_leaving",
+        [run(begun=9.0, at=9.1)],
+        {"leave_started_at": {"pay-0": 5.0}},
+    ),
+    ("cut_by_shutdown", [run()], {"drain_exit_codes": {"pay-0": None}}),
     (
         "reverted_edits",
         [run()],
-        {"edits": {"a": 5}, "in_force": {"pay-0": {"a": 4}}},
+        {"edited_weights": {"a": 5}, "weights_in_force": {"pay-0": {"a": 4}}},
     ),
 ]
 
@@ -64,5 +68,5 @@
 @pytest.mark.parametrize(("check", "runs", "changed"), CASES)
 def test_a_violation_is_found_by_its_check(check, runs, changed):
     values = {"results": [result()], "runs": runs, **changed}
-    found = judge.judge(judge.Evidence(**values))
+    found = checker.find_violations(checker.History(**values))
     assert [name for name, what in found.items() if what] == [check]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -23,12 +23,12 @@
 
 
 def crashes(running):
-    return sum(place.target_process.poll() == 1 for place in running.places)
+    return sum(place.target_process.poll() == 1 for place in running.vms)
 
 
 @pytest.mark.parametrize("idempotent", ["true", "false"])
 def test_a_request_that_crashes_targets_is_stopped(running, idempotent):
-    entries = [p for p in running.places if p.service == "payments"]
+    entries = [p for p in running.vms if p.service == "payments"]
     replies = []
     for number in range(9):
         replies.append(
@@ -56,9 +56,9 @@
 
 def test_a_request_that_stood_beside_a_crash_is_served(running):
     place = callers.owner_of(running, "payments", "k")
-    entry = next(p for p in running.places if p.service == "seats")
+    entry = next(p for p in running.vms if p.service == "seats")
     slow = "/v1/payments/roster?key=k"
-    host, _, port = entry.http.rpartition(":")
+    host, _, port = entry.http_address.rpartition(":")
     links = []
     for number in range(2):
         link = socket.create_connection((host, int(port)), timeout=30)
@@ -76,7 +76,7 @@
 
 def test_a_target_that_hangs_loses_its_slots(running):
     place = callers.owner_of(running, "seats", "k")
-    entry = next(p for p in running.places if p.service == "payments")
+    entry = next(p for p in running.vms if p.service == "payments")
     place.target_process.send_signal(signal.SIGSTOP)
     try:
         reply = callers.ask(
@@ -103,16 +103,16 @@
 def test_a_target_that_lies_about_its_health_is_not_trusted(running):
     place = callers.owner_of(running, "seats", "k")
     lies = {"health": "dead", "load": 9999}
-    cluster.call(place.target, "POST", "/faults", lies)
-    entry = running.places[-1]
+    cluster.call(place.target_address, "POST", "/faults", lies)
+    entry = running.vms[-1]
     reply = callers.ask(entry, "GET", "/v1/seats/browse?key=k")
     assert json.loads(reply[2])["target"] == place.name
 
 
 def test_a_silent_target_that_serves_keeps_its_slots(running):
     place = callers.owner_of(running, "seats", "k")
-    entry = running.places[-1]
-    cluster.call(place.target, "POST", "/faults", {"silent": True})
+    entry = running.vms[-1]
+    cluster.call(place.target_address, "POST", "/faults", {"silent": True})
     for _ in range(25):
         reply = callers.ask(entry, "GET", "/v1/seats/browse?key=k")
         assert json.loads(reply[2])["target"] == place.name
@@ -121,11 +121,13 @@
 
 
 def test_a_target_that_sheds_all_work_is_truthfully_refused(running):
-    for place in running.places:
+    for place in running.vms:
         if place.service == "payments":
-            cluster.call(place.target, "POST", "/faults", {"shed": True})
+            cluster.call(
+                place.target_address, "POST", "/faults", {"shed": True}
+            )
     reply = callers.ask(
-        running.places[0],
+        running.vms[0],
         "POST",
         "/v1/payments/pay?key=k",
         # The retry budget ends it, long before the deadline.
@@ -139,10 +141,10 @@
 
 
 def test_a_caller_that_goes_away_cancels_its_request(running):
-    entry = next(p for p in running.places if p.service == "seats")
+    entry = next(p for p in running.vms if p.service == "seats")
     owner = callers.owner_of(running, "payments", "gone")
-    cluster.call(owner.target, "POST", "/faults", {"extra_s": 2.0})
-    host, _, port = entry.http.rpartition(":")
+    cluster.call(owner.target_address, "POST", "/faults", {"extra_s": 2.0})
+    host, _, port = entry.http_address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=30) as link:
         link.sendall(
             b"POST /v1/payments/roster?key=gone HTTP/1.1\r\nHost: h\r\n"
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from demo import cluster, judge, load
+from demo import checker, cluster, load
 from tamarackgap.commands import control
 from tamarackgap.ownership import reports
 from tests.support import processes
@@ -46,7 +46,7 @@
                 time.sleep(self.rng.uniform(0.2, 0.8))
 
     def pick(self):
-        return self.rng.choice(self.running.places)
+        return self.rng.choice(self.running.vms)
 
     def kill(self):
         place = self.pick()
@@ -67,18 +67,18 @@
         process.send_signal(signal.SIGCONT)
 
     def outage(self):
-        self.running.faults(down=True)
+        self.running.set_faults(down=True)
         place = self.pick()
         place.daemon_process.send_signal(signal.SIGKILL)
         place.daemon_process.wait()
         time.sleep(OUTAGE_S)
-        self.running.faults(down=False)
+        self.running.set_faults(down=False)
         self.running.start_daemon(place)
 
     def lost_answers(self):
-        self.running.faults(lose_answers=0.7)
+        self.running.set_faults(lose_answers=0.7)
         time.sleep(1.0)
-        self.running.faults(lose_answers=0.0)
+        self.running.set_faults(lose_answers=0.0)
 
     def drain(self):
         place = self.pick()
@@ -89,7 +89,7 @@
     def edit(self):
         weight = self.rng.randrange(50, 150)
         key = "policy/seats/north"
-        table = self.running.table
+        table = self.running.table_address
         control.set_policy(table, key, {"weight": weight}, "test", None)
         self.edits[key] = weight
 
@@ -97,8 +97,10 @@
 def weights(running):
     """Returns the weight in force for seats in the north, by daemon."""
     found = {}
-    for place in running.places:
-        rows = cluster.call(place.http, "GET", "/owners?service=seats")[1]
+    for place in running.vms:
+        rows = cluster.call(place.http_address, "GET", "/owners?service=seats")[
+            1
+        ]
         for row in reports.decode_owners(rows):
             if row.data_centre == "north":
                 found[place.name] = {"policy/seats/north": row.weight}
@@ -109,14 +111,17 @@
 def test_every_promise_holds_under_faults(tmp_path, seed):
     running = processes.small_cluster(tmp_path)
     story = Story(running, seed)
-    callers = load.Load(running, SECONDS, RATE, seed)
+    callers = load.LoadGenerator(running, SECONDS, RATE, seed)
     try:
         faults = threading.Thread(target=story.run)
         faults.start()
         callers.run()
         faults.join()
-        assert running.ready(processes.READY_S, even=False) is not None
-        evidence = judge.Evidence(
+        assert (
+            running.wait_until_ready(processes.READY_S, balanced=False)
+            is not None
+        )
+        evidence = checker.History(
             callers.results,
             running.runs(),
             story.left,
@@ -127,7 +132,11 @@
     finally:
         story.stopping.set()
         running.stop()
-    found = {name: what for name, what in judge.judge(evidence).items() if what}
+    found = {
+        name: what
+        for name, what in checker.find_violations(evidence).items()
+        if what
+    }
     assert found == {}
     answered = [r for r in callers.results if r.verdict == "answered"]
     assert len(answered) > 0.8 * len(callers.results)
