--- a/tamarackgap/requests/quarantine.py
+++ b/tamarackgap/requests/quarantine.py
@@ -111,5 +111,5 @@
             self._entries.popitem(last=False)
 
     def remove(self, fingerprint: str) -> None:
-        """Removes a fingerprint, since its request ran alone without a crash."""
+        """Removes a fingerprint whose request ran alone without a crash."""
         self._entries.pop(fingerprint, None)
