--- a/tamarackgap/network/__init__.py
+++ b/tamarackgap/network/__init__.py
@@ -1,25 +1,25 @@
-"""Sockets, timers and HTTP on one loop."""
+"""Provides sockets, timers and HTTP on the circuits event loop."""
 
 import importlib
 import sys
 
-_OLD_SETUPTOOLS = "pkg_resources"
+_SKIPPED_MODULE = "pkg_resources"
 
 
-def _import_loop() -> None:
-    """Imports circuits without what it only uses to declare a namespace.
+def _import_circuits() -> None:
+    """Imports circuits without `pkg_resources`.
 
-    Where setuptools is installed, circuits imports its `pkg_resources`, which
-    costs a third of a daemon's start and 5 MB. It does without where that
-    can't be imported.
+    circuits uses `pkg_resources` only to declare a namespace package, and works
+    without it. Importing it takes a third of a daemon's start time and 5 MB.
     """
-    if "circuits" in sys.modules or _OLD_SETUPTOOLS in sys.modules:
+    if "circuits" in sys.modules or _SKIPPED_MODULE in sys.modules:
         return
-    sys.modules[_OLD_SETUPTOOLS] = None
+    # None makes the import raise ImportError, which circuits handles.
+    sys.modules[_SKIPPED_MODULE] = None
     try:
         importlib.import_module("circuits")
     finally:
-        del sys.modules[_OLD_SETUPTOOLS]
+        del sys.modules[_SKIPPED_MODULE]
 
 
-_import_loop()
+_import_circuits()
--- a/tamarackgap/network/exchanges.py
+++ b/tamarackgap/network/exchanges.py
@@ -1,4 +1,4 @@
-"""A request on its way over a kept connection, and why it may fail."""
+"""Defines the exchange of one HTTP request and its failures."""
 
 import enum
 from collections.abc import Callable
@@ -10,9 +10,9 @@
 
 
 class Cause(enum.Enum):
-    """Why a request has no answer."""
+    """The reason why a request has no answer."""
 
-    # Nobody listens at the address.
+    # The connection was refused: no process listens at the address.
     REFUSED = "refused"
     UNREACHABLE = "unreachable"
     CLOSED = "closed"
@@ -24,11 +24,11 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """A request without an answer.
+    """Describes a request that has no answer.
 
     Attributes:
-        cause: Why.
-        sent: Whether any byte of the request may have reached the other side.
+        cause: The reason.
+        sent: Whether any byte of the request may have been sent.
     """
 
     cause: Cause
@@ -36,12 +36,18 @@
 
 
 class Exchange:
-    """A request on its way; its client says what more it needs of it."""
+    """A request whose outcome is reported once.
+
+    Each HTTP client adds the data that it needs in a subclass.
+
+    Attributes:
+        timer: Fails the exchange when its timeout expires, or None.
+    """
 
     __slots__ = ("_done", "timer")
 
     def __init__(self, done: Callable[[result.Result], None]) -> None:
-        """Creates an exchange that calls `done` once."""
+        """Creates an exchange that calls `done` once, with its outcome."""
         self.timer: scheduler.Timer | None = None
         self._done: Callable[[result.Result], None] | None = done
 
@@ -51,7 +57,7 @@
         return self._done is None
 
     def finish(self, outcome: result.Result) -> None:
-        """Hands the outcome over, the first time."""
+        """Reports the outcome; later outcomes are ignored."""
         done = self._done
         self._done = None
         if self.timer is not None:
--- a/tamarackgap/network/scheduler.py
+++ b/tamarackgap/network/scheduler.py
@@ -1,4 +1,4 @@
-"""Calls functions at their time, on the circuits loop."""
+"""Calls functions at given times, on the circuits event loop."""
 
 import heapq
 import itertools
@@ -11,18 +11,18 @@
 
 
 class Timer:
-    """A call that is due at some time, unless it is cancelled."""
+    """A function call that is scheduled once and can be cancelled."""
 
     def __init__(self, call: Callable[[], None]) -> None:
-        """Creates a timer for `call`."""
+        """Creates a timer that calls `call`."""
         self._call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Makes sure that the call is not made."""
+        """Cancels the call, if it has not been made yet."""
         self._call = None
 
     def fire(self) -> None:
-        """Makes the call, once."""
+        """Makes the call, unless it was made or cancelled before."""
         call = self._call
         self._call = None
         if call is not None:
@@ -30,62 +30,66 @@
 
 
 class Scheduler(circuits.Component):
-    """Timers, and functions to call once in each turn of the loop."""
+    """Runs timers, and functions that are called in each loop iteration."""
 
     channel = "scheduler"
 
     def __init__(self, clock: Clock = time.monotonic) -> None:
-        """Creates a scheduler without timers."""
+        """Creates a scheduler without timers.
+
+        Args:
+            clock: Returns the current monotonic time, seconds.
+        """
         super().__init__()
         self._clock = clock
         self._timers: list[tuple[float, int, Timer]] = []
-        self._order = itertools.count()
-        self._each_iteration: list[Callable[[], None]] = []
+        self._sequence = itertools.count()
+        self._iteration_calls: list[Callable[[], None]] = []
 
     @property
     def now(self) -> float:
-        """Monotonic time, seconds."""
+        """The current monotonic time, seconds."""
         return self._clock()
 
     def after(self, seconds: float, call: Callable[[], None]) -> Timer:
-        """Calls once, when `seconds` have gone by."""
+        """Calls `call` once, after a delay in seconds."""
         timer = Timer(call)
         due = self._clock() + seconds
-        heapq.heappush(self._timers, (due, next(self._order), timer))
+        heapq.heappush(self._timers, (due, next(self._sequence), timer))
         return timer
 
     def every(self, seconds: float, call: Callable[[], None]) -> None:
-        """Calls again and again, `seconds` after the last call's end."""
+        """Calls `call` repeatedly, with a pause in seconds after each call."""
 
-        def again() -> None:
+        def call_and_reschedule() -> None:
             call()
-            self.after(seconds, again)
+            self.after(seconds, call_and_reschedule)
 
-        self.after(seconds, again)
+        self.after(seconds, call_and_reschedule)
 
     def each_iteration(self, call: Callable[[], None]) -> None:
-        """Calls in each turn of the loop, before it waits for events."""
-        self._each_iteration.append(call)
+        """Calls `call` in each loop iteration, before the loop waits."""
+        self._iteration_calls.append(call)
 
     def run_due(self) -> float:
-        """Makes all calls that are due.
+        """Makes the calls of each iteration and those of all due timers.
 
         Returns:
-            Seconds until the next one is due, or -1 where there is none.
+            Seconds until the next timer is due, or -1 if there is none.
         """
-        for call in self._each_iteration:
+        for call in self._iteration_calls:
             call()
         while self._timers:
-            left = self._timers[0][0] - self._clock()
-            if left > 0:
-                return left
+            remaining = self._timers[0][0] - self._clock()
+            if remaining > 0:
+                return remaining
             heapq.heappop(self._timers)[2].fire()
         return -1.0
 
     @circuits.handler("generate_events", channel="*", priority=10)
-    def _on_turn(self, event: circuits.Event) -> None:
-        left = self.run_due()
+    def _on_generate_events(self, event: circuits.Event) -> None:
+        remaining = self.run_due()
         if len(self.root):
-            # A call has fired events: the loop must not wait now.
-            left = 0.0
-        event.reduce_time_left(left)
+            # A call has fired events, so the loop must not wait.
+            remaining = 0.0
+        event.reduce_time_left(remaining)
--- a/tamarackgap/network/sockets.py
+++ b/tamarackgap/network/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets on the circuits loop whose callbacks cost no event each."""
+"""Calls callbacks of sockets on the circuits loop without circuits events."""
 
 import errno
 import select
@@ -14,47 +14,50 @@
 READ_BYTES = 65_536
 CONNECTING = (errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EALREADY)
 
-# Called with the epoll flags that are set.
+# Called with the epoll flags that are set on a socket.
 Callback = Callable[[int], None]
 
 
 class Poller(pollers.EPoll):
-    """The loop's poller, which also calls functions directly.
+    """The loop's poller, which also calls callbacks directly.
 
-    A circuits event costs more processor time than the work behind most
-    readable sockets, so the sockets of the data path have callbacks, and the
-    loop's turns need no event while none is waiting.
+    A circuits event costs more processor time than the work that most readable
+    sockets cause. Sockets of the data path therefore have callbacks, and the
+    poller waits repeatedly within one `generate_events` event until another
+    event is queued.
+
+    Attributes:
+        run_due: Runs the due timers, and returns the seconds until the next
+            one; negative if there is none. None leaves timers to the loop.
     """
 
     def __init__(self) -> None:
         super().__init__()
         self._callbacks: dict[int, Callback] = {}
-        # Does what is due, and returns the seconds until more is; negative
-        # where nothing is planned.
         self.run_due: Callable[[], float] | None = None
 
     def watch(self, descriptor: int, flags: int, callback: Callback) -> None:
-        """Calls `callback` whenever one of `flags` is set."""
+        """Calls `callback` whenever a flag of `flags` is set on a descriptor."""
         self._poller.register(descriptor, flags)
         self._callbacks[descriptor] = callback
 
     def modify(self, descriptor: int, flags: int) -> None:
-        """Waits for other flags from now on."""
+        """Replaces the flags that a descriptor is watched for."""
         self._poller.modify(descriptor, flags)
 
     def unwatch(self, descriptor: int) -> None:
-        """Stops watching a descriptor, before it is closed."""
+        """Stops watching a descriptor; must be called before it is closed."""
         if self._callbacks.pop(descriptor, None) is not None:
             self._poller.unregister(descriptor)
 
     def _generate_events(self, event: circuits.Event) -> None:
-        left = event.time_left
+        timeout = event.time_left
         while True:
-            for descriptor, flags in self._poller.poll(left):
+            for descriptor, flags in self._poller.poll(timeout):
                 self._process(descriptor, flags)
             if self.run_due is None or len(self.root):
                 return
-            left = self.run_due()
+            timeout = self.run_due()
             if len(self.root):
                 return
 
@@ -67,13 +70,13 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Returns host and port of `ip:port`."""
+    """Returns the host and the port of `ip:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def listen(address: str, backlog: int) -> socket.socket:
-    """Returns a listening socket.
+    """Returns a non-blocking socket that listens at `ip:port`.
 
     Raises:
         OSError: If the address can't be bound.
@@ -91,11 +94,12 @@
 
 
 def connect(address: str, unacked_timeout_ms: int) -> socket.socket | None:
-    """Returns a socket that is connecting, or None where it failed at once.
+    """Returns a socket that is connecting, or None if that failed at once.
 
     Args:
         address: `ip:port`.
-        unacked_timeout_ms: TCP_USER_TIMEOUT of the connection.
+        unacked_timeout_ms: Time after which the connection is closed if sent
+            bytes are not acknowledged (TCP_USER_TIMEOUT).
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
@@ -111,7 +115,11 @@
 
 
 class Writer:
-    """The outgoing side of a non-blocking socket."""
+    """Sends bytes on a non-blocking socket, and buffers what can't be sent yet.
+
+    Attributes:
+        connection_refused: Whether no process listens at the other side.
+    """
 
     def __init__(
         self, poller: Poller, sock: socket.socket, connected: bool
@@ -119,16 +127,15 @@
         """Creates a writer for a watched socket.
 
         Args:
-            poller: Watches the socket.
+            poller: The poller that watches the socket.
             sock: The socket.
-            connected: Whether it is connected already.
+            connected: Whether the socket is already connected.
         """
         self._poller = poller
         self._sock = sock
         self._descriptor = sock.fileno()
-        self._unsent = b""
+        self._buffer = b""
         self._connected = connected
-        # Whether nobody listens at the other side.
         self.connection_refused = False
 
     @property
@@ -138,25 +145,25 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes that the network has not taken yet."""
-        return len(self._unsent)
+        """Number of bytes that have not been passed to the socket yet."""
+        return len(self._buffer)
 
     def write(self, data: bytes) -> bool:
-        """Sends bytes now or when there is room.
+        """Sends bytes now, or as soon as the socket is writable.
 
         Returns:
-            False where the connection is broken.
+            False if the connection is broken.
         """
-        if self._unsent or not self._connected:
-            self._unsent += data
+        if self._buffer or not self._connected:
+            self._buffer += data
             return True
         return self._send(data)
 
     def handle_writable(self) -> bool:
-        """Goes on after the socket became writable.
+        """Sends the buffered bytes after the socket has become writable.
 
         Returns:
-            False where the connection is broken or was never made.
+            False if the connection is broken or could not be made.
         """
         if not self._connected:
             code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -164,11 +171,11 @@
                 self.connection_refused = code == errno.ECONNREFUSED
                 return False
             self._connected = True
-        data = self._unsent
-        self._unsent = b""
+        data = self._buffer
+        self._buffer = b""
         if not self._send(data):
             return False
-        if not self._unsent:
+        if not self._buffer:
             self._poller.modify(self._descriptor, READABLE)
         return True
 
@@ -182,6 +189,6 @@
         except OSError:
             return False
         if count < len(data):
-            self._unsent = data[count:]
+            self._buffer = data[count:]
             self._poller.modify(self._descriptor, READABLE | WRITABLE)
         return True
