--- a/tamarackgap/network/httppool.py
+++ b/tamarackgap/network/httppool.py
@@ -1,4 +1,7 @@
-"""Kept HTTP connections to one address, each with one request at a time."""
+"""Sends HTTP requests over a pool of connections to one address.
+
+Each connection carries one request at a time.
+"""
 
 import socket
 from collections.abc import Callable
@@ -14,11 +17,11 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer.
+    """A complete answer.
 
     Attributes:
         status: HTTP status.
-        headers: Header names in lower case, and values, as they came.
+        headers: Header names in lower case, and values, in the order received.
         body: The body.
     """
 
@@ -27,30 +30,40 @@
     body: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """Returns a header's value, or None."""
-        for known, value in self.headers:
-            if known == name:
+        """Returns the value of a header, or None.
+
+        Args:
+            name: The header's name in lower case.
+        """
+        for header_name, value in self.headers:
+            if header_name == name:
                 return value
         return None
 
 
 DoneCallback = Callable[[result.Result[Answer, exchanges.Failure]], None]
-# Tells whether an answer belongs to the request that was sent.
+# Returns whether an answer is the one to the request that was sent.
 AnswerCheck = Callable[[Answer], bool]
-# Returns a request's bytes when they are about to be written; none where it
-# must not be sent any more.
+# Returns a request's bytes just before they are written, or no bytes if the
+# request must not be sent any more.
 RequestBuilder = Callable[[], bytes]
 
 
 class Exchange(exchanges.Exchange):
-    """A request, its bytes and the test of its answer."""
+    """A request that is sent over a connection of the pool.
+
+    Attributes:
+        build: Returns the request's bytes.
+        is_answer: Returns whether an answer is the one to this request.
+        connection: The connection that carries the request, or None.
+    """
 
     __slots__ = ("is_answer", "build", "connection")
 
     def __init__(
         self, build: RequestBuilder, done: DoneCallback, is_answer: AnswerCheck
     ) -> None:
-        """Creates an exchange that calls `done` once."""
+        """Creates an exchange that calls `done` once, with its outcome."""
         super().__init__(done)
         self.build = build
         self.is_answer = is_answer
@@ -58,7 +71,7 @@
 
 
 class ConnectionPool:
-    """All connections to one address."""
+    """Holds the connections to one address."""
 
     def __init__(
         self,
@@ -68,14 +81,15 @@
         idle_timeout_s: float,
         unacked_timeout_ms: int,
     ) -> None:
-        """Creates a link without connections.
+        """Creates a pool without connections.
 
         Args:
             poller: The loop's poller.
             timers: The loop's scheduler.
             address: `ip:port`.
             idle_timeout_s: Longest idle time of a connection that is reused.
-            unacked_timeout_ms: TCP_USER_TIMEOUT of each connection.
+            unacked_timeout_ms: Time after which a connection is closed if
+                sent bytes are not acknowledged (TCP_USER_TIMEOUT).
         """
         self.poller = poller
         self.timers = timers
@@ -92,20 +106,22 @@
         done: DoneCallback,
         is_answer: AnswerCheck = lambda answer: True,
     ) -> Exchange:
-        """Sends a whole request.
+        """Sends a request.
 
         Args:
-            build: Returns its bytes, once there is a connection.
-            timeout: Longest wait for the whole answer, seconds.
-            done: Called once with the answer or the failure; perhaps before
-                this returns.
-            is_answer: Answers for which it is false are skipped.
+            build: Returns the request's bytes; called once there is a
+                connection.
+            timeout: Longest time until the answer is complete, seconds.
+            done: Called once with the answer or the failure, possibly before
+                this method returns.
+            is_answer: Returns whether an answer is the one to this request;
+                other answers are skipped.
 
         Returns:
-            The exchange, for `cancel`.
+            The exchange, to be passed to `cancel`.
         """
         exchange = Exchange(build, done, is_answer)
-        connection = self._take() or self._connect()
+        connection = self._take_idle() or self._connect()
         if connection is None:
             exchange.finish(
                 result.Failure(
@@ -114,36 +130,36 @@
             )
             return exchange
         exchange.timer = self.timers.after(
-            timeout, lambda: self._give_up(exchange, exchanges.Cause.TIMEOUT)
+            timeout, lambda: self._abort(exchange, exchanges.Cause.TIMEOUT)
         )
-        connection.begin(exchange)
+        connection.send(exchange)
         return exchange
 
     def cancel(self, exchange: Exchange) -> None:
-        """Gives an exchange up by closing its connection."""
-        self._give_up(exchange, exchanges.Cause.CANCELLED)
+        """Cancels an exchange, which closes its connection."""
+        self._abort(exchange, exchanges.Cause.CANCELLED)
 
     def close(self) -> None:
         """Closes all connections."""
         for connection in list(self._open):
-            connection.lose(exchanges.Cause.CLOSED)
+            connection.fail(exchanges.Cause.CLOSED)
 
-    def released(self, connection: "_Connection") -> None:
-        """Takes a connection back that may be used again."""
+    def add_idle(self, connection: "_Connection") -> None:
+        """Makes a connection available for other requests."""
         self._idle.append(connection)
 
     def discard(self, connection: "_Connection") -> None:
-        """Forgets a closed connection."""
+        """Removes a closed connection."""
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
 
-    def _take(self) -> "_Connection | None":
-        # The one used last is the one least likely to be closed by now.
+    def _take_idle(self) -> "_Connection | None":
+        # The connection used last is the least likely to have been closed.
         now = self.timers.now
         while self._idle:
             connection = self._idle.pop()
-            if now < connection.usable_until:
+            if now < connection.reusable_until:
                 return connection
             connection.close()
         return None
@@ -156,40 +172,41 @@
         self._open.add(connection)
         return connection
 
-    def _give_up(self, exchange: Exchange, cause: exchanges.Cause) -> None:
+    def _abort(self, exchange: Exchange, cause: exchanges.Cause) -> None:
         if exchange.finished:
             return
         if exchange.connection is not None:
-            exchange.connection.lose(cause)
+            exchange.connection.fail(cause)
 
 
 class _Connection:
-    """One connection, with at most one exchange."""
+    """A connection of the pool, which carries at most one exchange."""
 
-    def __init__(self, link: ConnectionPool, sock: socket.socket) -> None:
-        self._link = link
+    def __init__(self, pool: ConnectionPool, sock: socket.socket) -> None:
+        self._pool = pool
         self._sock = sock
         self._descriptor = sock.fileno()
         self._exchange: Exchange | None = None
         self._closed = False
-        self._odd = False
+        self._must_close = False
         self._received = False
         self._parser = httptools.HttpResponseParser(self)
         self._headers: Headers = []
         self._body: list[bytes] = []
-        self._framed = False
-        # The answer that was waited for, until its bytes are all parsed.
-        self._answered: tuple[Exchange, Answer] | None = None
-        self.usable_until = 0.0
-        link.poller.watch(
+        self._has_framing = False
+        # The finished exchange and its answer, until the bytes received with
+        # it have been parsed.
+        self._finished: tuple[Exchange, Answer] | None = None
+        self.reusable_until = 0.0
+        pool.poller.watch(
             self._descriptor,
             sockets.READABLE | sockets.WRITABLE,
-            self._ready,
+            self._on_ready,
         )
-        self._writer = sockets.Writer(link.poller, sock, False)
+        self._writer = sockets.Writer(pool.poller, sock, False)
 
-    def begin(self, exchange: Exchange) -> None:
-        """Sends a request on this idle connection, once it is made."""
+    def send(self, exchange: Exchange) -> None:
+        """Sends a request on this idle connection, once it is established."""
         self._exchange = exchange
         exchange.connection = self
         self._received = False
@@ -199,38 +216,38 @@
     def _write(self) -> None:
         data = self._exchange.build()
         if not data:
-            self.lose(exchanges.Cause.CANCELLED, sent=False)
+            self.fail(exchanges.Cause.CANCELLED, sent=False)
         elif not self._writer.write(data):
-            self.lose(exchanges.Cause.CLOSED)
+            self.fail(exchanges.Cause.CLOSED)
 
-    # The parser's callbacks.
+    # Callbacks of the HTTP parser.
 
     def on_message_begin(self) -> None:
         if self._exchange is None:
-            self._odd = True
+            self._must_close = True
         self._headers = []
         self._body = []
-        self._framed = False
+        self._has_framing = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         name = name.lower()
         if name in (b"content-length", b"transfer-encoding"):
-            self._framed = True
+            self._has_framing = True
         self._headers.append((name, value))
 
     def on_body(self, body: bytes) -> None:
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        self._finish()
+        self._accept_answer()
 
-    # The socket.
+    # Events of the socket.
 
-    def _ready(self, flags: int) -> None:
+    def _on_ready(self, flags: int) -> None:
         if flags & sockets.WRITABLE:
             was_connected = self._writer.connected
             if not self._writer.handle_writable():
-                self.lose(self._cause())
+                self.fail(self._failure_cause())
                 return
             if not was_connected and self._exchange is not None:
                 self._write()
@@ -239,7 +256,7 @@
         if flags & (sockets.READABLE | sockets.ERROR_OR_HANGUP):
             self._read()
 
-    def _cause(self) -> exchanges.Cause:
+    def _failure_cause(self) -> exchanges.Cause:
         if self._writer.connection_refused:
             return exchanges.Cause.REFUSED
         if not self._writer.connected:
@@ -256,95 +273,95 @@
         except BlockingIOError:
             return
         except OSError:
-            self.lose(self._cause())
+            self.fail(self._failure_cause())
             return
         if self._exchange is None:
-            # It closed, or bytes came that nobody asked for.
+            # The other side closed the connection, or sent unrequested bytes.
             if data:
-                logs.event("surplus_bytes", address=self._link.address)
+                logs.event("surplus_bytes", address=self._pool.address)
             self.close()
         elif data:
             self._feed(data)
         else:
-            self._ended()
+            self._handle_end()
 
     def _feed(self, data: bytes) -> None:
         self._received = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._odd = True
+            self._must_close = True
             if self._exchange is not None:
-                self.lose(exchanges.Cause.MALFORMED)
+                self.fail(exchanges.Cause.MALFORMED)
                 return
-        self._settle()
+        self._release()
 
-    def _ended(self) -> None:
-        if self._received and not self._framed and self._headers:
-            # Its length is where the connection ends.
-            self._odd = True
-            self._finish()
+    def _handle_end(self) -> None:
+        if self._received and not self._has_framing and self._headers:
+            # Without framing headers, the body ends with the connection.
+            self._must_close = True
+            self._accept_answer()
             if self._exchange is None:
-                self._settle()
+                self._release()
                 return
-        self.lose(
+        self.fail(
             exchanges.Cause.TRUNCATED
             if self._received
             else exchanges.Cause.CLOSED
         )
 
-    def _finish(self) -> None:
-        """Takes a whole answer, if it is the one waited for."""
+    def _accept_answer(self) -> None:
+        """Accepts a complete answer, if it is the one to the current request."""
         exchange = self._exchange
         if exchange is None:
-            self._odd = True
+            self._must_close = True
             return
         answer = Answer(
             self._parser.get_status_code(), self._headers, b"".join(self._body)
         )
         if not exchange.is_answer(answer):
-            logs.event("late_answer_skipped", address=self._link.address)
-            self._odd = True
+            logs.event("late_answer_skipped", address=self._pool.address)
+            self._must_close = True
             return
         if self._writer.unsent or not self._parser.should_keep_alive():
-            self._odd = True
+            self._must_close = True
         self._exchange = None
-        self.usable_until = self._link.timers.now + self._idle_limit(answer)
-        self._answered = (exchange, answer)
+        self.reusable_until = self._pool.timers.now + self._idle_limit(answer)
+        self._finished = (exchange, answer)
 
     def _idle_limit(self, answer: Answer) -> float:
-        told = answer.header(b"keep-alive")
-        if told is not None:
-            for part in told.split(b","):
+        keep_alive = answer.header(b"keep-alive")
+        if keep_alive is not None:
+            for part in keep_alive.split(b","):
                 name, _, value = part.strip().partition(b"=")
                 if name.lower() == b"timeout" and value.isdigit():
-                    # The other side may close a moment before its time.
+                    # The other side may close slightly before its timeout.
                     return min(
-                        self._link.idle_timeout_s, max(0.0, int(value) - 1.0)
+                        self._pool.idle_timeout_s, max(0.0, int(value) - 1.0)
                     )
-        return self._link.idle_timeout_s
+        return self._pool.idle_timeout_s
 
-    def _settle(self) -> None:
-        """Keeps the connection for another request, or closes it."""
+    def _release(self) -> None:
+        """Keeps or closes the connection, and reports the accepted answer."""
         if self._exchange is not None:
             return
-        if self._odd:
+        if self._must_close:
             self.close()
         elif not self._closed:
-            self._link.released(self)
-        answered = self._answered
-        self._answered = None
-        if answered is not None:
-            exchange, answer = answered
+            self._pool.add_idle(self)
+        finished = self._finished
+        self._finished = None
+        if finished is not None:
+            exchange, answer = finished
             exchange.finish(result.Success(answer))
 
-    def lose(self, cause: exchanges.Cause, sent: bool | None = None) -> None:
+    def fail(self, cause: exchanges.Cause, sent: bool | None = None) -> None:
         """Closes the connection, and fails its exchange.
 
         Args:
-            cause: Why.
-            sent: Whether any byte of the request may have been sent; None for
-                whether the connection was made.
+            cause: The cause of the failure.
+            sent: Whether any byte of the request may have been sent; None if
+                that follows from whether the connection was established.
         """
         exchange = self._exchange
         self._exchange = None
@@ -355,10 +372,10 @@
             exchange.finish(result.Failure(exchanges.Failure(cause, sent)))
 
     def close(self) -> None:
-        """Closes the connection at once."""
+        """Closes the connection immediately."""
         if self._closed:
             return
         self._closed = True
-        self._link.poller.unwatch(self._descriptor)
-        self._link.discard(self)
+        self._pool.poller.unwatch(self._descriptor)
+        self._pool.discard(self)
         self._sock.close()
--- a/tamarackgap/network/sockets.py
+++ b/tamarackgap/network/sockets.py
@@ -37,7 +37,7 @@
         self.run_due: Callable[[], float] | None = None
 
     def watch(self, descriptor: int, flags: int, callback: Callback) -> None:
-        """Calls `callback` whenever a flag of `flags` is set on a descriptor."""
+        """Calls `callback` whenever one of `flags` is set on a descriptor."""
         self._poller.register(descriptor, flags)
         self._callbacks[descriptor] = callback
 
