--- a/tamarackgap/network/httpclient.py
+++ b/tamarackgap/network/httpclient.py
@@ -1,7 +1,7 @@
-"""HTTP requests to targets and to the platform, on the circuits loop.
+"""Sends HTTP requests with events of the circuits loop.
 
-Each connection carries one request at a time, so an answer can only belong
-to the request that was written last.
+Each connection carries one request at a time, so an answer always belongs to
+the request that was written last.
 """
 
 import collections
@@ -24,7 +24,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A complete answer; names of its headers are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -38,10 +38,10 @@
         address: `ip:port`.
         method: HTTP method.
         path: Path and query.
-        headers: Headers besides those about connection and length.
+        headers: Headers other than Host and Content-Length.
         body: The body.
-        timeout_s: Longest wait for the whole answer, seconds.
-        max_answer_bytes: Largest answer body, bytes.
+        timeout_s: Longest time until the answer is complete.
+        max_answer_bytes: Largest answer, including its headers.
     """
 
     address: str
@@ -57,19 +57,19 @@
 
 
 class Exchange(exchanges.Exchange):
-    """A request on its way."""
+    """A request and the connection that carries it, if any."""
 
     __slots__ = ("connection", "request")
 
     def __init__(self, request: Request, done: DoneCallback) -> None:
-        """Creates an exchange that calls `done` once."""
+        """Creates an exchange that calls `done` once, with its outcome."""
         super().__init__(done)
         self.request = request
         self.connection: _Connection | None = None
 
 
 class _Connection:
-    """One connection, with at most one exchange."""
+    """A connection, which carries at most one exchange."""
 
     def __init__(self, address: str, sock: socket.socket) -> None:
         self.address = address
@@ -78,20 +78,20 @@
         self.connected = False
         self.unsent = b""
         self.sent = False
-        self.received = 0
+        self.received_bytes = 0
         self.parser = parsers.HttpParser(_PARSE_RESPONSE)
 
-    def load(self, exchange: Exchange) -> None:
-        """Gets the exchange's bytes ready to be written."""
+    def assign(self, exchange: Exchange) -> None:
+        """Prepares to write the request of an exchange."""
         self.exchange = exchange
         exchange.connection = self
-        self.unsent = _encode(exchange.request)
+        self.unsent = _encode_request(exchange.request)
         self.sent = False
-        self.received = 0
+        self.received_bytes = 0
         self.parser = parsers.HttpParser(_PARSE_RESPONSE)
 
 
-def _encode(request: Request) -> bytes:
+def _encode_request(request: Request) -> bytes:
     lines = [f"{request.method} {request.path} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in request.headers.items()]
     lines.append(f"Host: {request.address}")
@@ -101,7 +101,7 @@
 
 
 class HttpClient(circuits.Component):
-    """Pools of connections, one for each address."""
+    """Sends requests, with a pool of connections for each address."""
 
     channel = "http-client"
 
@@ -122,18 +122,18 @@
 
         Args:
             request: The request.
-            done: Called once with the answer or the failure; perhaps before
-                this returns.
+            done: Called once with the answer or the failure, possibly before
+                this method returns.
 
         Returns:
-            The exchange, for `cancel`.
+            The exchange, to be passed to `cancel`.
         """
         exchange = Exchange(request, done)
         exchange.timer = self._timers.after(
             request.timeout_s,
-            lambda: self._fail(exchange, exchanges.Cause.TIMEOUT),
+            lambda: self._abort(exchange, exchanges.Cause.TIMEOUT),
         )
-        connection = self._take(request.address)
+        connection = self._take_connection(request.address)
         if connection is None:
             exchange.finish(
                 result.Failure(
@@ -141,16 +141,16 @@
                 )
             )
             return exchange
-        connection.load(exchange)
+        connection.assign(exchange)
         if connection.connected:
             self._write(connection)
         return exchange
 
     def cancel(self, exchange: Exchange) -> None:
-        """Gives an exchange up; its answer, if it comes, is dropped."""
-        self._fail(exchange, exchanges.Cause.CANCELLED)
+        """Cancels an exchange, which closes its connection."""
+        self._abort(exchange, exchanges.Cause.CANCELLED)
 
-    def _take(self, address: str) -> _Connection | None:
+    def _take_connection(self, address: str) -> _Connection | None:
         idle = self._idle[address]
         if idle:
             return idle.pop()
@@ -168,7 +168,7 @@
         self._poller.addWriter(self, sock)
         return connection
 
-    def _fail(self, exchange: Exchange, cause: exchanges.Cause) -> None:
+    def _abort(self, exchange: Exchange, cause: exchanges.Cause) -> None:
         if exchange.finished:
             return
         connection = exchange.connection
@@ -185,7 +185,7 @@
         self._poller.discard(connection.sock)
         connection.sock.close()
 
-    def _lose(self, connection: _Connection, cause: exchanges.Cause) -> None:
+    def _fail(self, connection: _Connection, cause: exchanges.Cause) -> None:
         exchange = connection.exchange
         self._close(connection)
         if exchange is not None and not exchange.finished:
@@ -203,7 +203,7 @@
                 self._poller.addWriter(self, connection.sock)
             return
         except OSError:
-            self._lose(connection, exchanges.Cause.CLOSED)
+            self._fail(connection, exchanges.Cause.CLOSED)
             return
         if self._poller.isWriting(connection.sock):
             self._poller.removeWriter(connection.sock)
@@ -215,7 +215,7 @@
             return
         if not connection.connected:
             if sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                self._lose(connection, exchanges.Cause.UNREACHABLE)
+                self._fail(connection, exchanges.Cause.UNREACHABLE)
                 return
             connection.connected = True
         self._write(connection)
@@ -230,7 +230,7 @@
             if connection.connected
             else exchanges.Cause.UNREACHABLE
         )
-        self._lose(connection, cause)
+        self._fail(connection, cause)
 
     @circuits.handler("_read")
     def _on_read(self, sock: socket.socket) -> None:
@@ -244,35 +244,38 @@
         except OSError:
             data = b""
         if connection.exchange is None:
-            # Nothing was asked: the other side closed, or talks out of turn.
+            # The other side closed the connection, or sent unrequested bytes.
             self._close(connection)
         elif data:
             self._feed(connection, data)
         else:
-            self._ended(connection)
+            self._handle_end(connection)
 
-    def _ended(self, connection: _Connection) -> None:
+    def _handle_end(self, connection: _Connection) -> None:
         if not connection.connected:
             cause = exchanges.Cause.UNREACHABLE
-        elif connection.received:
+        elif connection.received_bytes:
             cause = exchanges.Cause.TRUNCATED
         else:
             cause = exchanges.Cause.CLOSED
-        self._lose(connection, cause)
+        self._fail(connection, cause)
 
     def _feed(self, connection: _Connection, data: bytes) -> None:
         parser = connection.parser
-        connection.received += len(data)
-        if connection.received > connection.exchange.request.max_answer_bytes:
-            self._lose(connection, exchanges.Cause.TOO_LARGE)
+        connection.received_bytes += len(data)
+        if (
+            connection.received_bytes
+            > connection.exchange.request.max_answer_bytes
+        ):
+            self._fail(connection, exchanges.Cause.TOO_LARGE)
             return
         try:
             parser.execute(data, len(data))
         except (ValueError, TypeError, IndexError):
-            self._lose(connection, exchanges.Cause.MALFORMED)
+            self._fail(connection, exchanges.Cause.MALFORMED)
             return
         if parser.errno is not None:
-            self._lose(connection, exchanges.Cause.MALFORMED)
+            self._fail(connection, exchanges.Cause.MALFORMED)
         elif parser.is_message_complete():
             self._complete(connection)
 
--- a/tamarackgap/network/httppool.py
+++ b/tamarackgap/network/httppool.py
@@ -194,9 +194,9 @@
         self._headers: Headers = []
         self._body: list[bytes] = []
         self._has_framing = False
-        # The finished exchange and its answer, until the bytes received with
-        # it have been parsed.
-        self._finished: tuple[Exchange, Answer] | None = None
+        # An exchange and its accepted answer, until the bytes received with
+        # the answer have been parsed.
+        self._accepted: tuple[Exchange, Answer] | None = None
         self.reusable_until = 0.0
         pool.poller.watch(
             self._descriptor,
@@ -294,7 +294,7 @@
             if self._exchange is not None:
                 self.fail(exchanges.Cause.MALFORMED)
                 return
-        self._release()
+        self._complete()
 
     def _handle_end(self) -> None:
         if self._received and not self._has_framing and self._headers:
@@ -302,7 +302,7 @@
             self._must_close = True
             self._accept_answer()
             if self._exchange is None:
-                self._release()
+                self._complete()
                 return
         self.fail(
             exchanges.Cause.TRUNCATED
@@ -311,7 +311,7 @@
         )
 
     def _accept_answer(self) -> None:
-        """Accepts a complete answer, if it is the one to the current request."""
+        """Accepts a complete answer if it is the one to the current request."""
         exchange = self._exchange
         if exchange is None:
             self._must_close = True
@@ -327,7 +327,7 @@
             self._must_close = True
         self._exchange = None
         self.reusable_until = self._pool.timers.now + self._idle_limit(answer)
-        self._finished = (exchange, answer)
+        self._accepted = (exchange, answer)
 
     def _idle_limit(self, answer: Answer) -> float:
         keep_alive = answer.header(b"keep-alive")
@@ -341,18 +341,18 @@
                     )
         return self._pool.idle_timeout_s
 
-    def _release(self) -> None:
-        """Keeps or closes the connection, and reports the accepted answer."""
+    def _complete(self) -> None:
+        """Keeps or closes the connection, and reports an accepted answer."""
         if self._exchange is not None:
             return
         if self._must_close:
             self.close()
         elif not self._closed:
             self._pool.add_idle(self)
-        finished = self._finished
-        self._finished = None
-        if finished is not None:
-            exchange, answer = finished
+        accepted = self._accepted
+        self._accepted = None
+        if accepted is not None:
+            exchange, answer = accepted
             exchange.finish(result.Success(answer))
 
     def fail(self, cause: exchanges.Cause, sent: bool | None = None) -> None:
--- a/tamarackgap/table/__init__.py
+++ b/tamarackgap/table/__init__.py
@@ -1,1 +1,1 @@
-"""The table in which records last, as the product's own interface has it."""
+"""Reads and writes the platform's table service."""
--- a/tamarackgap/table/tableclient.py
+++ b/tamarackgap/table/tableclient.py
@@ -1,4 +1,4 @@
-"""Reads and transactions of the platform's table service."""
+"""Sends reads and transactions to the platform's table service."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 from tamarackgap.ownership import effects
 from tamarackgap.placement import records
 
-_LARGEST_BYTES = 256 * 1024 * 1024
+_MAX_ANSWER_BYTES = 256 * 1024 * 1024
 _CONFLICT = 409
 _OK = 200
 
@@ -19,7 +19,7 @@
 
     Attributes:
         revision: The table's revision.
-        rows: Rows changed after the revision that was asked for.
+        rows: Rows that changed after the requested revision.
     """
 
     revision: int
@@ -30,8 +30,9 @@
     """The table's answer to a transaction.
 
     Attributes:
-        committed: Whether all its checks held.
-        rows: The rows that it names, as they are afterwards.
+        committed: Whether all checks of the transaction held, so that it was
+            committed.
+        rows: The rows that the transaction names, after it.
     """
 
     committed: bool
@@ -43,7 +44,12 @@
 
 
 class TableClient:
-    """The table service, met through its HTTP interface."""
+    """A client of the table service's HTTP interface.
+
+    Attributes:
+        reads: Number of reads sent.
+        writes: Number of transactions sent.
+    """
 
     def __init__(
         self, http: httpclient.HttpClient, address: str, timeout: float
@@ -51,9 +57,9 @@
         """Creates a client.
 
         Args:
-            http: Carries the requests.
+            http: Sends the requests.
             address: The service's `ip:port`.
-            timeout: Longest wait for an answer, seconds.
+            timeout: Longest time until an answer is complete, seconds.
         """
         self._http = http
         self._address = address
@@ -62,38 +68,51 @@
         self.writes = 0
 
     def read(self, since: int, done: ReadCallback) -> None:
-        """Asks for all rows changed after a revision."""
+        """Reads all rows that changed after a revision.
+
+        Args:
+            since: The revision.
+            done: Called once with the rows or the cause of the failure.
+        """
         self.reads += 1
 
-        def answered(
+        def handle_outcome(
             outcome: result.Result[httpclient.Answer, exchanges.Failure],
         ) -> None:
-            done(outcome.alt(_cause).bind(_changes))
+            done(outcome.alt(_cause).bind(_decode_changes))
 
         self._http.send(
-            self._request("GET", f"/rows?since={since}", b""), answered
+            self._request("GET", f"/rows?since={since}", b""), handle_outcome
         )
 
     def commit(
         self, transaction: records.Transaction, done: CommitCallback
     ) -> None:
-        """Puts a transaction; the outcome may stay unknown."""
+        """Sends a transaction.
+
+        Args:
+            transaction: The transaction.
+            done: Called once with its state, which is UNKNOWN without a usable
+                answer, and with the rows of the answer.
+        """
         self.writes += 1
 
-        def answered(
+        def handle_outcome(
             outcome: result.Result[httpclient.Answer, exchanges.Failure],
         ) -> None:
-            found = outcome.alt(_cause).bind(_outcome)
-            match found:
+            commit_outcome = outcome.alt(_cause).bind(_decode_outcome)
+            match commit_outcome:
                 case result.Success(
                     CommitOutcome(committed=committed, rows=rows)
                 ):
-                    done(_state(committed), rows)
+                    done(_commit_state(committed), rows)
                 case _:
                     done(effects.CommitState.UNKNOWN, [])
 
         body = msgspec.json.encode(transaction)
-        self._http.send(self._request("POST", "/transactions", body), answered)
+        self._http.send(
+            self._request("POST", "/transactions", body), handle_outcome
+        )
 
     def _request(
         self, method: str, path: str, body: bytes
@@ -105,11 +124,11 @@
             {"Content-Type": "application/json"},
             body,
             self._timeout,
-            _LARGEST_BYTES,
+            _MAX_ANSWER_BYTES,
         )
 
 
-def _state(committed: bool) -> effects.CommitState:
+def _commit_state(committed: bool) -> effects.CommitState:
     if committed:
         return effects.CommitState.COMMITTED
     return effects.CommitState.CONFLICT
@@ -119,13 +138,15 @@
     return failure.cause.value
 
 
-def _changes(answer: httpclient.Answer) -> result.Result[Changes, str]:
+def _decode_changes(answer: httpclient.Answer) -> result.Result[Changes, str]:
     if answer.status != _OK:
         return result.Failure(f"status {answer.status}")
     return _decode(answer.body, Changes)
 
 
-def _outcome(answer: httpclient.Answer) -> result.Result[CommitOutcome, str]:
+def _decode_outcome(
+    answer: httpclient.Answer,
+) -> result.Result[CommitOutcome, str]:
     if answer.status not in (_OK, _CONFLICT):
         return result.Failure(f"status {answer.status}")
     return _decode(answer.body, CommitOutcome)
--- a/tamarackgap/table/tablereader.py
+++ b/tamarackgap/table/tablereader.py
@@ -1,4 +1,4 @@
-"""Reads the table's changes, at a rate that all daemons together keep."""
+"""Reads the table's changes at a rate that is limited over all daemons."""
 
 import random
 from collections.abc import Callable
@@ -10,16 +10,17 @@
 from tamarackgap.ownership import ownership
 from tamarackgap.table import tableclient
 
-# The table takes about 2,000 reads a second from all daemons together.
-_POLLS_PER_S = 300.0
-_REFRESHES_PER_S = 600.0
-_LEAST_PAUSE_S = 0.05
-# With reads failing for this long, nothing is awaited of the table.
-_SILENCE_S = 1.0
+# The table handles about 2,000 reads a second. The two rates are shared by all
+# daemons in the table.
+_MAX_POLLS_PER_S = 300.0
+_MAX_REFRESHES_PER_S = 600.0
+_MIN_READ_INTERVAL_S = 0.05
+# The table counts as unreachable when reads have failed for this long.
+_UNREACHABLE_AFTER_S = 1.0
 
 
 class TableReader:
-    """Keeps one daemon's view up to date."""
+    """Keeps a daemon's view of the table up to date."""
 
     def __init__(
         self,
@@ -30,15 +31,15 @@
         poll_interval: float,
         on_read: Callable[[], None],
     ) -> None:
-        """Creates a reader that has read nothing.
+        """Creates a reader that has not read yet.
 
         Args:
             table: The table service.
-            core: Takes the rows in.
+            core: Applies the rows that were read.
             timers: The loop's scheduler.
-            rng: Spreads reads after a change.
-            poll_interval: Least time between two polls, seconds.
-            on_read: Called after each read that was answered.
+            rng: Source of the random delays of `read_soon`.
+            poll_interval: Shortest time between two polls, seconds.
+            on_read: Called after each successful read.
         """
         self._table = table
         self._core = core
@@ -47,57 +48,67 @@
         self._poll_interval = poll_interval
         self._on_read = on_read
         self._is_reading = False
-        self._is_planned = False
-        self._asked_at = float("-inf")
+        self._read_scheduled = False
+        self._last_read_at = float("-inf")
         self._failing_since: float | None = None
 
     def is_unreachable(self, now: float) -> bool:
-        """Returns whether the table has failed to answer for a while."""
+        """Returns whether reads have been failing for too long.
+
+        Args:
+            now: The current monotonic time, seconds.
+        """
         since = self._failing_since
-        return since is not None and now - since > _SILENCE_S
+        return since is not None and now - since > _UNREACHABLE_AFTER_S
 
     def record_answer(self) -> None:
-        """Notes an answer of the table."""
+        """Records that the table has answered."""
         self._failing_since = None
 
     def poll(self) -> None:
-        """Reads now, and again after a pause that grows with the daemons."""
+        """Reads now, and repeatedly after an interval.
+
+        The interval grows with the number of daemons in the table.
+        """
         self._read()
-        fair = len(self._core.view.members()) / _POLLS_PER_S
-        self._timers.after(max(self._poll_interval, fair), self.poll)
+        fair_interval = len(self._core.view.members()) / _MAX_POLLS_PER_S
+        self._timers.after(max(self._poll_interval, fair_interval), self.poll)
 
     def read_soon(self) -> None:
-        """Reads once, within a time that grows with the daemons.
+        """Reads once, after a random delay.
 
-        All of them hear of a change at about the same time.
+        All daemons learn of a change at about the same time, so the longest
+        delay grows with their number.
         """
-        if self._is_planned:
+        if self._read_scheduled:
             return
-        self._is_planned = True
-        spread = len(self._core.view.members()) / _REFRESHES_PER_S
-        self._timers.after(self._rng.uniform(0, spread), self._read_planned)
-
-    def _read_planned(self) -> None:
-        self._is_planned = False
+        self._read_scheduled = True
+        max_delay = len(self._core.view.members()) / _MAX_REFRESHES_PER_S
+        self._timers.after(
+            self._rng.uniform(0, max_delay), self._run_scheduled_read
+        )
+
+    def _run_scheduled_read(self) -> None:
+        self._read_scheduled = False
         self._read()
 
     def _read(self) -> None:
         now = self._timers.now
-        if self._is_reading or now - self._asked_at < _LEAST_PAUSE_S:
+        if self._is_reading or now - self._last_read_at < _MIN_READ_INTERVAL_S:
             return
         self._is_reading = True
-        self._asked_at = now
-        self._table.read(self._core.view.cursor, self._answered)
+        self._last_read_at = now
+        self._table.read(self._core.view.cursor, self._handle_outcome)
 
-    def _answered(
+    def _handle_outcome(
         self, outcome: result.Result[tableclient.Changes, str]
     ) -> None:
         self._is_reading = False
         match outcome:
-            case result.Success(tableclient.Changes() as found):
+            case result.Success(tableclient.Changes() as changes):
                 self.record_answer()
                 now = self._timers.now
-                self._core.apply_table_read(found.rows, found.revision, now)
+                self._core.apply_table_read(changes.rows, changes.revision, now)
                 self._on_read()
             case result.Failure(problem):
                 if self._failing_since is None:
