--- a/tamarackgap/commands/__init__.py
+++ b/tamarackgap/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Implements the commands of the command line."""
--- a/tamarackgap/commands/cmdline.py
+++ b/tamarackgap/commands/cmdline.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Defines the command line."""
 
 import getpass
 import pathlib
@@ -20,14 +20,14 @@
 _EXIT_USAGE = 2
 _EXIT_CONFLICT = 3
 _EXIT_UNREACHABLE = 4
-_EXIT_NOT_EVERYWHERE = 5
-_IN_FORCE_S = 13.0
+_EXIT_NOT_IN_FORCE = 5
+_DEFAULT_WAIT_S = 13.0
 _EXIT_CODES = """
 \b
 Exit codes:
   0  done
   1  failed
-  2  wrong usage, or settings that cannot be used
+  2  wrong usage, or invalid settings
   3  somebody else edited the row; nothing was changed
   4  the table or the daemon does not answer
   5  accepted, but not yet in force everywhere
@@ -39,7 +39,7 @@
     raise SystemExit(code)
 
 
-def _settings(path: pathlib.Path) -> config.Config:
+def _load_settings(path: pathlib.Path) -> config.Config:
     match config.load(path):
         case result.Success(config.Config() as settings):
             return settings
@@ -48,7 +48,7 @@
     raise AssertionError(path)
 
 
-def _show(value: object, as_json: bool, text: str) -> None:
+def _print_result(value: object, as_json: bool, text: str) -> None:
     if as_json:
         click.echo(msgspec.json.encode(value).decode())
     else:
@@ -82,8 +82,8 @@
 @cli.command("daemon", epilog=_EXIT_CODES)
 @_config_option
 def daemon_command(path: pathlib.Path) -> None:
-    """Run the process beside a target, until SIGTERM has drained it."""
-    settings = _settings(path)
+    """Run the process beside a target, and drain it on SIGTERM."""
+    settings = _load_settings(path)
     try:
         daemon.run(settings)
     except OSError as error:
@@ -94,11 +94,11 @@
 @_config_option
 @_json_option
 def check_config(path: pathlib.Path, as_json: bool) -> None:
-    """Check a settings file, and print all settings in force."""
-    settings = _settings(path)
+    """Check a settings file, and print all settings with their defaults."""
+    settings = _load_settings(path)
     values = msgspec.to_builtins(settings)
     lines = [f"{name} = {value}" for name, value in values.items()]
-    _show(settings, as_json, "\n".join(lines))
+    _print_result(settings, as_json, "\n".join(lines))
 
 
 @cli.command("debug", epilog=_EXIT_CODES)
@@ -107,21 +107,21 @@
 )
 @_json_option
 def debug(path: pathlib.Path | None, as_json: bool) -> None:
-    """Print what the program knows of its surroundings."""
-    settings = _settings(path) if path is not None else None
-    known = env.describe_environment(settings)
+    """Print versions, limits and settings that help to find a fault."""
+    settings = _load_settings(path) if path is not None else None
+    environment = env.describe_environment(settings)
     lines = [
         f"{name}: {value}"
-        for name, value in msgspec.structs.asdict(known).items()
+        for name, value in msgspec.structs.asdict(environment).items()
         if not isinstance(value, dict)
     ]
     for name in ("libraries", "settings"):
-        pairs = getattr(known, name).items()
+        pairs = getattr(environment, name).items()
         lines += [f"{name}.{key}: {value}" for key, value in pairs]
-    _show(known, as_json, "\n".join(lines))
+    _print_result(environment, as_json, "\n".join(lines))
 
 
-def _page(address: str, path: str) -> bytes:
+def _get_page(address: str, path: str) -> bytes:
     try:
         status, body = control.send_request(address, "GET", path)
     except OSError as error:
@@ -135,10 +135,10 @@
 @_daemon_option
 @_json_option
 def status_command(address: str, as_json: bool) -> None:
-    """Print what a daemon says of itself."""
-    found = msgspec.json.decode(_page(address, "/status"))
-    pairs = found.items()
-    _show(found, as_json, "\n".join(f"{k}: {v}" for k, v in pairs))
+    """Print the status of a daemon."""
+    status = msgspec.json.decode(_get_page(address, "/status"))
+    pairs = status.items()
+    _print_result(status, as_json, "\n".join(f"{k}: {v}" for k, v in pairs))
 
 
 @cli.command("owners", epilog=_EXIT_CODES)
@@ -148,7 +148,7 @@
 def owners(address: str, service: str | None, as_json: bool) -> None:
     """Print how many slots each daemon owns."""
     query = f"?service={urllib.parse.quote(service)}" if service else ""
-    body = _page(address, "/owners" + query)
+    body = _get_page(address, "/owners" + query)
     rows = reports.decode_owners(body)
     lines = [
         f"{'SERVICE':16} {'DAEMON':20} {'DATA CENTRE':14} {'SLOTS':>6}"
@@ -159,7 +159,7 @@
         f" {row.slots:6} {row.weight:6} {row.epoch:5} {row.state}"
         for row in rows
     ]
-    _show(rows, as_json, "\n".join(lines))
+    _print_result(rows, as_json, "\n".join(lines))
 
 
 @cli.command("explain", epilog=_EXIT_CODES)
@@ -168,19 +168,19 @@
 @click.option("--service", required=True, help="The key's service.")
 @_json_option
 def explain(key: str, address: str, service: str, as_json: bool) -> None:
-    """Print who owns KEY, since which epoch, by which decision."""
+    """Print the owner of KEY, its epoch and the write that assigned it."""
     query = urllib.parse.urlencode({"service": service, "key": key})
-    body = _page(address, "/explain?" + query)
-    found = msgspec.json.decode(body, type=reports.Explanation)
-    owner = found.daemon or "nobody that is known"
+    body = _get_page(address, "/explain?" + query)
+    explanation = msgspec.json.decode(body, type=reports.Explanation)
+    owner = explanation.daemon or "no known daemon"
     text = (
-        f"key {found.key} of {found.service} is in slot {found.slot},"
-        f" owned by {owner} ({found.owner})\n"
-        f"since fence {found.fence}, in its epoch {found.epoch}"
-        f" ({found.state}), by write {found.change}\n"
-        f"successor: {found.successor or 'none'}"
+        f"key {explanation.key} of {explanation.service} is in slot"
+        f" {explanation.slot}, owned by {owner} ({explanation.owner})\n"
+        f"since fence {explanation.fence}, in its epoch {explanation.epoch}"
+        f" ({explanation.state}), by write {explanation.change}\n"
+        f"successor: {explanation.successor or 'none'}"
     )
-    _show(found, as_json, text)
+    _print_result(explanation, as_json, text)
 
 
 @cli.command("lost", epilog=_EXIT_CODES)
@@ -189,14 +189,14 @@
 @click.option(
     "--yes",
     is_flag=True,
-    prompt="Is this daemon's VM gone for certain, and never to come back?",
-    help="Do not ask.",
+    prompt="Is this daemon's VM certainly gone, and will it never come back?",
+    help="Do not ask for confirmation.",
 )
 def lost(name: str, address: str, yes: bool) -> None:
-    """Close the lease of daemon NAME, whose VM is gone for certain.
+    """Close the lease of daemon NAME, whose VM is certainly gone.
 
-    Needed only where most witnesses of its lease are gone with it. If it
-    still runs, two servers may own a key.
+    Needed only if most witnesses of the lease are gone with it. If the daemon
+    still runs, two servers may own the same key.
     """
     if not yes:
         _fail("nothing was done", _EXIT_FAILED)
@@ -213,11 +213,11 @@
 
 @cli.group("table", epilog=_EXIT_CODES)
 def table() -> None:
-    """Show and edit the operators' table of weights and limits."""
+    """Show and edit the policies: weights and limits of services."""
 
 
 class PolicyRow(msgspec.Struct, frozen=True):
-    """One row of the operators' table, with its version."""
+    """A policy as 'table show' prints it, with the version of its row."""
 
     service: str
     data_centre: str
@@ -227,7 +227,7 @@
     queue: int
 
 
-def _read(address: str) -> list[records.Row]:
+def _read_rows(address: str) -> list[records.Row]:
     try:
         return control.read_rows(address).rows
     except exceptions.TableError as error:
@@ -239,23 +239,23 @@
 @_table_option
 @_json_option
 def table_show(address: str, as_json: bool) -> None:
-    """Print all rows with their versions."""
+    """Print all policies with their versions."""
     lines = []
-    for row in _read(address):
+    for row in _read_rows(address):
         if not row.key.startswith(records.POLICY_PREFIX) or not row.value:
             continue
-        service, _, place = row.key.removeprefix(
+        service, _, data_centre = row.key.removeprefix(
             records.POLICY_PREFIX
         ).partition("/")
-        found = msgspec.json.decode(row.value, type=records.Policy)
+        row_policy = msgspec.json.decode(row.value, type=records.Policy)
         lines.append(
             PolicyRow(
                 service,
-                place,
+                data_centre,
                 row.revision,
-                found.weight,
-                found.in_progress,
-                found.queue,
+                row_policy.weight,
+                row_policy.in_progress,
+                row_policy.queue,
             )
         )
     lines.sort(key=lambda line: (line.service, line.data_centre))
@@ -268,28 +268,28 @@
         f" {line.weight:6} {line.in_progress:11} {line.queue:6}"
         for line in lines
     ]
-    _show(lines, as_json, "\n".join(texts))
+    _print_result(lines, as_json, "\n".join(texts))
 
 
 @table.command("history", epilog=_EXIT_CODES)
 @_table_option
 @_json_option
 def table_history(address: str, as_json: bool) -> None:
-    """Print all accepted edits, oldest first."""
+    """Print the history of accepted edits, oldest first."""
     entries = [
         msgspec.json.decode(row.value, type=records.HistoryEntry)
-        for row in sorted(_read(address), key=lambda row: row.key)
+        for row in sorted(_read_rows(address), key=lambda row: row.key)
         if row.key.startswith(records.HISTORY_PREFIX) and row.value
     ]
     texts = [
         f"{entry.when_ms} {entry.who} {entry.row}:"
-        f" {_columns(entry.before)} -> {_columns(entry.after)}"
+        f" {_format_columns(entry.before)} -> {_format_columns(entry.after)}"
         for entry in entries
     ]
-    _show(entries, as_json, "\n".join(texts) or "no edits")
+    _print_result(entries, as_json, "\n".join(texts) or "no edits")
 
 
-def _columns(row: records.Policy | None) -> str:
+def _format_columns(row: records.Policy | None) -> str:
     if row is None:
         return "(no row)"
     return " ".join(f"{name}={getattr(row, name)}" for name in policy.COLUMNS)
@@ -305,13 +305,17 @@
     "version",
     type=int,
     default=None,
-    help="Version that you saw in 'table show'; 0 for a new row.",
+    help="Version that 'table show' printed; 0 for a new row.",
+)
+@click.option(
+    "--who",
+    default=getpass.getuser,
+    help="Name of the operator, for the history.",
 )
-@click.option("--who", default=getpass.getuser, help="For the history.")
 @click.option(
     "--wait",
-    default=_IN_FORCE_S,
-    help="Seconds to wait until it is in force everywhere.",
+    default=_DEFAULT_WAIT_S,
+    help="Seconds to wait until the edit is in force everywhere.",
 )
 @_json_option
 def table_set(
@@ -324,34 +328,36 @@
     wait: float,
     as_json: bool,
 ) -> None:
-    """Edit the row of SERVICE in DATA_CENTRE ('*' for any)."""
+    """Edit the policy of SERVICE in DATA_CENTRE ('*' for any)."""
     match policy.parse_columns(list(columns)):
         case result.Failure(problem):
             _fail(str(problem), _EXIT_USAGE)
         case result.Success(values):
             pass
-    rows = _read(address)
+    rows = _read_rows(address)
     if control.find_row(rows, records.service_key(service)) is None:
         _fail(f"{service}: no such service", _EXIT_USAGE)
     key = records.policy_key(service, data_centre)
     try:
         revision = control.set_policy(address, key, values, who, version)
-        state = control.wait_until_in_force(address, revision, wait, _progress)
+        state = control.wait_until_in_force(
+            address, revision, wait, _print_progress
+        )
     except exceptions.ConflictError as error:
         _fail(str(error), _EXIT_CONFLICT)
     except exceptions.TableError as error:
         _fail(str(error), _EXIT_UNREACHABLE)
-    _show(
+    _print_result(
         state,
         as_json,
         f"accepted as version {state.revision}; in force at"
         f" {state.applied} of {state.daemons} daemons",
     )
     if not state.everywhere:
-        raise SystemExit(_EXIT_NOT_EVERYWHERE)
+        raise SystemExit(_EXIT_NOT_IN_FORCE)
 
 
-def _progress(state: control.Propagation) -> None:
+def _print_progress(state: control.Propagation) -> None:
     click.echo(
         f"in force at {state.applied} of {state.daemons} daemons", err=True
     )
--- a/tamarackgap/commands/control.py
+++ b/tamarackgap/commands/control.py
@@ -1,4 +1,4 @@
-"""What operators' commands do: calls to the table and to daemons."""
+"""Sends the requests of operators' commands to the table and to daemons."""
 
 import http.client
 import time
@@ -15,16 +15,16 @@
 
 _TIMEOUT_S = 5.0
 _DAEMON_TIMEOUT_S = 1.0
-_AGAIN_S = 0.2
+_RETRY_INTERVAL_S = 0.2
 
 
 class Propagation(msgspec.Struct, frozen=True):
-    """How far an edit has come.
+    """Counts the daemons that have read an edit.
 
     Attributes:
         revision: The table's revision of the edit.
-        daemons: Number of daemons in the table.
-        applied: Number of those that have read it.
+        daemons: Number of daemons with an open lease.
+        applied: Number of these daemons that have read the edit.
     """
 
     revision: int
@@ -44,25 +44,35 @@
     body: bytes = b"",
     timeout: float = _TIMEOUT_S,
 ) -> tuple[int, bytes]:
-    """Returns status and body of one HTTP request.
+    """Returns the status and the body of the answer to an HTTP request.
+
+    Args:
+        address: `ip:port` of the server.
+        method: HTTP method.
+        path: Path and query.
+        body: The body.
+        timeout: Longest wait for the connection or for more bytes, seconds.
 
     Raises:
-        OSError: If there is no whole answer.
+        OSError: If there is no complete answer.
     """
     host, _, port = address.rpartition(":")
-    link = http.client.HTTPConnection(host, int(port), timeout=timeout)
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
     try:
-        link.request(method, path, body)
-        answer = link.getresponse()
+        connection.request(method, path, body)
+        answer = connection.getresponse()
         return answer.status, answer.read()
     except http.client.HTTPException as error:
         raise OSError(f"{address}: {error!r}") from error
     finally:
-        link.close()
+        connection.close()
 
 
 def read_rows(address: str) -> tableclient.Changes:
-    """Returns all rows of the table.
+    """Returns all rows of the table and its revision.
+
+    Args:
+        address: The table's `ip:port`.
 
     Raises:
         exceptions.TableError: If the table does not answer.
@@ -77,7 +87,7 @@
 
 
 def find_row(rows: list[records.Row], key: str) -> records.Row | None:
-    """Returns the row with a key, or None."""
+    """Returns the row with this key, or None."""
     return next((row for row in rows if row.key == key), None)
 
 
@@ -88,74 +98,81 @@
     who: str,
     expected: int | None,
 ) -> int:
-    """Edits a row; returns the table's revision of the edit.
+    """Edits a policy and returns the table's revision of the edit.
 
-    An answer that was lost is read back by the edit's own id before the
-    edit is tried again, so it is made once.
+    A lost answer is resolved by sending the same transaction again: the table
+    commits it only once, and the entry in the history shows whether it did.
 
     Args:
         address: The table's `ip:port`.
         key: The row's key.
-        values: New values of some columns.
-        who: The operator.
-        expected: Revision of the row that the operator saw, 0 for none;
-            None for whatever it is now.
+        values: New values of the columns to change.
+        who: Name of the operator, for the history.
+        expected: Revision of the row that the operator saw, 0 for no row, or
+            None to edit any revision.
 
     Raises:
         exceptions.ConflictError: If somebody else has edited the row.
-        exceptions.TableError: If the outcome can't be learnt.
+        exceptions.TableError: If the outcome is unknown.
     """
     row = find_row(read_rows(address).rows, key)
-    present = row.revision if row is not None and row.value else 0
-    if expected is not None and present != expected:
+    current = row.revision if row is not None and row.value else 0
+    if expected is not None and current != expected:
         raise exceptions.ConflictError(
-            f"{key} is at version {present}, not {expected}:"
+            f"{key} is at version {current}, not {expected}:"
             " somebody else edited it"
         )
     edit = policy.build_edit(row, key, values, who, int(time.time() * 1000))
     body = msgspec.json.encode(edit.transaction)
-    give_up = time.monotonic() + 2 * _TIMEOUT_S
-    while time.monotonic() < give_up:
-        status = _put(address, body)
+    deadline = time.monotonic() + 2 * _TIMEOUT_S
+    while time.monotonic() < deadline:
+        status = _commit(address, body)
         if status in (200, 409):
-            return _landed(address, edit)
-        time.sleep(_AGAIN_S)
+            return _committed_revision(address, edit)
+        time.sleep(_RETRY_INTERVAL_S)
     raise exceptions.TableError(
         f"table {address}: no answer; the edit may have been accepted:"
         " look at 'tamarackgap table history'"
     )
 
 
-def _put(address: str, body: bytes) -> int:
+def _commit(address: str, body: bytes) -> int:
     try:
         return send_request(address, "POST", "/transactions", body)[0]
     except OSError:
         return 0
 
 
-def _landed(address: str, edit: policy.Edit) -> int:
-    """Returns the edit's revision, or raises if it lost against another."""
+def _committed_revision(address: str, edit: policy.Edit) -> int:
+    """Returns the revision of a committed edit.
+
+    Raises:
+        exceptions.ConflictError: If the table did not commit the edit.
+    """
     rows = read_rows(address).rows
-    written = find_row(rows, edit.transaction.writes[1].key)
-    if written is None:
+    history_row = find_row(rows, edit.transaction.writes[1].key)
+    if history_row is None:
         raise exceptions.ConflictError(
             f"{edit.key}: somebody else edited it; nothing was changed"
         )
-    return written.revision
+    return history_row.revision
 
 
 def open_leases(rows: list[records.Row]) -> list[records.LeaseRecord]:
-    """Returns all open lease records among rows."""
-    found = [
+    """Returns the open lease records among rows."""
+    lease_records = [
         msgspec.json.decode(row.value, type=records.LeaseRecord)
         for row in rows
         if row.key.startswith(records.LEASE_PREFIX) and row.value
     ]
-    return [record for record in found if record.is_open]
+    return [record for record in lease_records if record.is_open]
 
 
 def query_propagation(address: str, revision: int) -> Propagation:
-    """Asks every daemon whether it has read up to a revision."""
+    """Returns how many daemons have read the table up to a revision.
+
+    A daemon that does not answer counts as one that has not.
+    """
     members = open_leases(read_rows(address).rows)
     applied = 0
     for record in members:
@@ -171,41 +188,51 @@
     address: str,
     revision: int,
     seconds: float,
-    progress: Callable[[Propagation], None],
+    on_progress: Callable[[Propagation], None],
 ) -> Propagation:
-    """Waits until an edit is in force everywhere, or time is up."""
-    give_up = time.monotonic() + seconds
+    """Waits until all daemons have read an edit, or until the time is up.
+
+    Args:
+        address: The table's `ip:port`.
+        revision: The table's revision of the edit.
+        seconds: Longest wait.
+        on_progress: Called after each round of queries.
+
+    Returns:
+        The result of the last round.
+    """
+    deadline = time.monotonic() + seconds
     while True:
         state = query_propagation(address, revision)
-        progress(state)
-        if state.everywhere or time.monotonic() >= give_up:
+        on_progress(state)
+        if state.everywhere or time.monotonic() >= deadline:
             return state
-        time.sleep(_AGAIN_S)
+        time.sleep(_RETRY_INTERVAL_S)
 
 
 def daemon_status(address: str) -> pages.Status:
-    """Returns a daemon's status page.
+    """Returns a daemon's status.
 
     Raises:
-        OSError: If it does not answer.
+        OSError: If the daemon does not answer.
     """
     _, body = send_request(address, "GET", "/status", timeout=_DAEMON_TIMEOUT_S)
     return msgspec.json.decode(body, type=pages.Status)
 
 
 def close_lost(address: str, daemon: str) -> int:
-    """Closes the records of a daemon that a person knows to be lost.
+    """Closes the lease records of a daemon that an operator knows to be lost.
 
     Returns:
-        How many records were closed.
+        The number of closed records.
 
     Raises:
-        exceptions.ConflictError: If a record changed meanwhile.
+        exceptions.ConflictError: If a record has changed in the meantime.
         exceptions.TableError: If the table does not answer.
     """
-    found = read_rows(address)
+    table = read_rows(address)
     view = records.TableView()
-    view.merge(found.rows)
+    view.merge(table.rows)
     lost = [record for record in view.members() if record.daemon == daemon]
     if not lost:
         return 0
@@ -213,7 +240,7 @@
     for record in lost:
         builder.close(record, slots.expand(record.runs))
     change = builder.build(changes.ChangeKind.CLOSE_GONE, "lost")
-    status = _put(address, msgspec.json.encode(change.transaction))
+    status = _commit(address, msgspec.json.encode(change.transaction))
     if status == 409:
         raise exceptions.ConflictError(f"{daemon}: its record has changed")
     if status != 200:
--- a/tamarackgap/commands/env.py
+++ b/tamarackgap/commands/env.py
@@ -1,4 +1,4 @@
-"""What the program knows of its surroundings, for `tamarackgap debug`."""
+"""Describes the environment of the process, for `tamarackgap debug`."""
 
 import importlib.metadata
 import os
@@ -25,16 +25,16 @@
 
 
 class Environment(msgspec.Struct, frozen=True):
-    """Facts about program, machine and settings.
+    """Holds versions, limits and settings that help to find a fault.
 
     Attributes:
         version: Version of this package.
         python: Version of Python.
         system: Operating system.
         cores: Cores that this process may use.
-        open_files: Most files that it may have open.
-        libraries: Version of each library, "missing" where it is not there.
-        settings: Each setting and its value, where a file was given.
+        open_files: Largest number of files that the process may have open.
+        libraries: Version of each library, or "missing".
+        settings: Value of each setting; empty if no file was given.
     """
 
     version: str
@@ -54,7 +54,11 @@
 
 
 def describe_environment(settings: config.Config | None) -> Environment:
-    """Returns what is known here."""
+    """Returns the environment of this process.
+
+    Args:
+        settings: The settings to include, or None.
+    """
     values = msgspec.to_builtins(settings) if settings is not None else {}
     return Environment(
         version=tamarackgap.__version__,
--- a/tamarackgap/commands/policy.py
+++ b/tamarackgap/commands/policy.py
@@ -1,4 +1,4 @@
-"""The operators' table: parsing, checking and editing its rows."""
+"""Checks and builds operators' edits of policies."""
 
 import uuid
 
@@ -11,7 +11,14 @@
 
 
 class Column(msgspec.Struct, frozen=True):
-    """Bounds of one column of the operators' table."""
+    """Describes a column of a policy.
+
+    Attributes:
+        minimum: Smallest valid value.
+        maximum: Largest valid value.
+        unit: Unit of the value.
+        help: Meaning of the value.
+    """
 
     minimum: int
     maximum: int
@@ -20,28 +27,32 @@
 
 
 COLUMNS: dict[str, Column] = {
-    "weight": Column(0, 1000, "shares", "share of the slots; 0 empties"),
+    "weight": Column(
+        0, 1000, "shares", "weight of the share of the slots; 0 for no slots"
+    ),
     "in_progress": Column(
-        0, 100_000, "requests", "most at one target; 0: as it announces"
+        0, 100_000, "requests", "largest number at one target; 0: as announced"
+    ),
+    "queue": Column(
+        0, 1_000_000, "requests", "largest number that wait at one owner"
     ),
-    "queue": Column(0, 1_000_000, "requests", "most waiting at one owner"),
     "tolerance": Column(
-        1, 100, "percent", "load above its share that makes a daemon give"
+        1, 100, "percent", "load above its share at which a daemon moves slots"
     ),
     "moves": Column(
-        0, 100_000, "slots", "most given away in a minute to even out"
+        0, 100_000, "slots", "largest number moved in a minute to balance load"
     ),
 }
 
 
 class Edit(msgspec.Struct, frozen=True):
-    """An accepted-to-be edit of one row.
+    """An edit of one row that has not been sent yet.
 
     Attributes:
         key: The row's key.
-        before: The row as the operator saw it, or None if there is none.
-        after: The row as it shall be.
-        transaction: The write.
+        before: The policy before the edit, or None if there is none.
+        after: The policy after the edit.
+        transaction: The transaction that makes the edit.
     """
 
     key: str
@@ -50,23 +61,24 @@
     transaction: records.Transaction
 
 
-def parse_columns(texts: list[str]) -> result.Result[dict[str, int], str]:
-    """Returns the columns in `COLUMN=NUMBER` texts, or what is wrong."""
+def parse_columns(arguments: list[str]) -> result.Result[dict[str, int], str]:
+    """Returns the values in `COLUMN=NUMBER` arguments, or an error message."""
     values: dict[str, int] = {}
-    for text in texts:
-        name, _, number = text.partition("=")
-        bound = COLUMNS.get(name)
-        if bound is None:
+    for argument in arguments:
+        name, _, number = argument.partition("=")
+        column = COLUMNS.get(name)
+        if column is None:
             names = ", ".join(COLUMNS)
-            return result.Failure(f"{text}: expected one of {names}")
+            return result.Failure(f"{argument}: expected one of {names}")
         expected = (
-            f"{name}: expected {bound.minimum} to {bound.maximum} {bound.unit}"
+            f"{name}: expected {column.minimum} to {column.maximum}"
+            f" {column.unit}"
         )
         try:
             value = int(number)
         except ValueError:
             return result.Failure(f"{expected}, not {number!r}")
-        if not bound.minimum <= value <= bound.maximum:
+        if not column.minimum <= value <= column.maximum:
             return result.Failure(f"{expected}, not {value}")
         values[name] = value
     if not values:
@@ -81,14 +93,14 @@
     who: str,
     now_ms: int,
 ) -> Edit:
-    """Returns the write of an edit, with its entry in the history.
+    """Returns an edit of a row that also adds an entry to the history.
 
     Args:
-        row: The row as it is now, or None.
+        row: The current row, or None.
         key: The row's key.
-        values: New values of some columns.
-        who: The operator.
-        now_ms: Wall-clock time, milliseconds.
+        values: New values of the columns to change.
+        who: Name of the operator, for the history.
+        now_ms: Current wall-clock time, milliseconds.
     """
     change = uuid.uuid4().hex
     before = None
--- a/tamarackgap/network/httpclient.py
+++ b/tamarackgap/network/httpclient.py
@@ -24,7 +24,13 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A complete answer; names of its headers are in lower case."""
+    """A complete answer.
+
+    Attributes:
+        status: HTTP status.
+        headers: Values of the headers, by name in lower case.
+        body: The body.
+    """
 
     status: int
     headers: dict[str, str]
--- a/tamarackgap/settings/__init__.py
+++ b/tamarackgap/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings: what there is, and how a file of them is read."""
+"""Defines the settings and reads settings files."""
--- a/tamarackgap/settings/config.py
+++ b/tamarackgap/settings/config.py
@@ -10,11 +10,11 @@
 
 from tamarackgap.settings import options
 
-_NAME = re.compile(r"[A-Za-z0-9._-]{1,64}")
+_NAME_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,64}")
 
 
 class Config(msgspec.Struct, frozen=True):
-    """All settings; `options.OPTIONS` says what each means and its unit."""
+    """Holds all settings; `options.OPTIONS` has their meanings and units."""
 
     daemon_deployment: str
     daemon_name: str
@@ -59,11 +59,11 @@
     """Reads a settings file.
 
     Args:
-        path: The file.
+        path: Path of the file.
 
     Returns:
-        The settings, or one line that names file, section, setting, value
-        and what was expected.
+        The settings, or an error message of one line that names the file, the
+        section, the setting, its value and what was expected.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -72,17 +72,19 @@
         return result.Failure(f"{path}: cannot be read: {error}")
     except configparser.Error as error:
         text = " ".join(str(error).split())
-        return result.Failure(f"{path}: is no INI file: {text}")
-    return _build(parser, str(path))
+        return result.Failure(f"{path}: is not an INI file: {text}")
+    return _build_config(parser, str(path))
 
 
-def _build(
+def _build_config(
     parser: configparser.ConfigParser, path: str
 ) -> result.Result[Config, str]:
-    known = {(option.section, option.name) for option in options.OPTIONS}
+    known_settings = {
+        (option.section, option.name) for option in options.OPTIONS
+    }
     for section in parser.sections():
         for name, value in parser.items(section):
-            if (section, name) not in known:
+            if (section, name) not in known_settings:
                 return result.Failure(
                     f"{path}: [{section}] {name} = {value}: no such setting"
                 )
@@ -101,7 +103,7 @@
                 f" expected {option.expected}"
             )
         values[option.field] = value
-    return _check_whole(Config(**values), path)
+    return _check_consistency(Config(**values), path)
 
 
 def _parse(option: options.Option, text: str) -> str | int | None:
@@ -109,7 +111,7 @@
         case options.Kind.INTEGER:
             return _parse_integer(option, text)
         case options.Kind.NAME:
-            return text if _NAME.fullmatch(text) else None
+            return text if _NAME_PATTERN.fullmatch(text) else None
         case options.Kind.ADDRESS:
             return text if is_address(text) else None
         case options.Kind.PATH:
@@ -125,7 +127,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Returns whether `text` is an IP number and a port."""
+    """Returns whether `text` is an IPv4 address and a port, as `ip:port`."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
@@ -134,7 +136,7 @@
     return port.isdecimal() and 0 < int(port) < 65536
 
 
-def _check_whole(config: Config, path: str) -> result.Result[Config, str]:
+def _check_consistency(config: Config, path: str) -> result.Result[Config, str]:
     slots = config.ownership_slots
     if slots & (slots - 1):
         return result.Failure(
--- a/tamarackgap/settings/options.py
+++ b/tamarackgap/settings/options.py
@@ -1,4 +1,4 @@
-"""All settings, in one table."""
+"""Lists all settings with their types, limits, defaults and help texts."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.Enum):
-    """How a setting's text is read."""
+    """The type of a setting; its value describes it in messages."""
 
     NAME = "name of letters, digits, '.', '_' and '-'"
     ADDRESS = "ip:port"
@@ -15,17 +15,17 @@
 
 
 class Option(msgspec.Struct, frozen=True):
-    """One setting.
+    """Describes one setting.
 
     Attributes:
-        section: Its section in the file.
-        name: Its name there.
-        kind: How its text is read.
-        help: What it does, for the documentation.
-        default: Its value where the file has none; None must be given.
-        minimum: Least value of a number.
-        maximum: Greatest value of a number.
-        unit: Unit of a number.
+        section: Section of the settings file.
+        name: Name within the section.
+        kind: Type of the value.
+        help: Meaning of the setting, for the documentation.
+        default: Value if the file has none, or None if the file must give one.
+        minimum: Smallest valid value of an integer.
+        maximum: Largest valid value of an integer.
+        unit: Unit of an integer.
     """
 
     section: str
@@ -44,7 +44,7 @@
 
     @property
     def expected(self) -> str:
-        """What a valid value is, in words."""
+        """Description of the valid values, for error messages."""
         if self.kind is not Kind.INTEGER:
             return self.kind.value
         return (
@@ -52,20 +52,20 @@
         )
 
 
-def _number(
+def _integer_option(
     section: str,
     name: str,
     default: int,
     minimum: int,
     maximum: int,
     unit: str,
-    text: str,
+    help_text: str,
 ) -> Option:
     return Option(
         section,
         name,
         Kind.INTEGER,
-        text,
+        help_text,
         default,
         minimum,
         maximum,
@@ -78,18 +78,18 @@
         "daemon",
         "deployment",
         Kind.NAME,
-        "daemons of other deployments are not listened to",
+        "messages from daemons of other deployments are ignored",
     ),
-    Option("daemon", "name", Kind.NAME, "kept over restarts"),
-    Option("daemon", "service", Kind.NAME, "service of the target beside it"),
-    Option("daemon", "data_centre", Kind.NAME, "where the VM stands"),
+    Option("daemon", "name", Kind.NAME, "stays the same across restarts"),
+    Option("daemon", "service", Kind.NAME, "service of the local target"),
+    Option("daemon", "data_centre", Kind.NAME, "data centre of the VM"),
     Option("daemon", "http_address", Kind.ADDRESS, "for callers and operators"),
     Option("daemon", "peer_address", Kind.ADDRESS, "for other daemons"),
     Option(
         "daemon",
         "log",
         Kind.PATH,
-        "where log lines go; '-' is standard error, 'stdout' standard output",
+        "file for log lines; '-' is standard error, 'stdout' standard output",
         "-",
     ),
     Option(
@@ -103,24 +103,24 @@
         "router",
         "ready_address",
         Kind.ADDRESS,
-        "where it is asked whether the daemon is ready",
+        "where the readiness of the daemon is queried",
         "",
     ),
     Option(
         "router",
         "metrics_address",
         Kind.ADDRESS,
-        "where metrics and state are read",
+        "where metrics and status pages are served",
         "",
     ),
     Option(
         "router",
         "target_address",
         Kind.ADDRESS,
-        "where the target takes requests and orders",
+        "where the target accepts requests and orders",
         "",
     ),
-    _number(
+    _integer_option(
         "router",
         "announce_interval",
         1000,
@@ -129,16 +129,16 @@
         "ms",
         "time between two announcements of a target",
     ),
-    _number(
+    _integer_option(
         "router",
         "longest_hold",
         10_000,
         100,
         600_000,
         "ms",
-        "longest time for which a target takes keys",
+        "longest hold time of a grant that a target accepts",
     ),
-    _number(
+    _integer_option(
         "router",
         "grace",
         6000,
@@ -147,87 +147,108 @@
         "ms",
         "time from SIGTERM to SIGKILL",
     ),
-    _number(
+    _integer_option(
         "router",
         "reruns",
         20,
         0,
         1000,
         "percent",
-        "arrivals at a service beyond the first of each request, as a share"
-        " of its requests, for all daemons together",
+        "requests sent again to targets of a service, as a share of its"
+        " requests, for all daemons together",
     ),
-    _number(
+    _integer_option(
         "router",
         "extra_reruns",
         0,
         0,
         1_000_000,
         "requests",
-        "such arrivals that are allowed besides",
+        "number of such repeats that are allowed in addition",
     ),
     Option("table", "address", Kind.ADDRESS, "the platform's table service"),
-    _number("table", "poll", 500, 50, 60_000, "ms", "time between two reads"),
-    _number("table", "timeout", 2000, 50, 60_000, "ms", "longest wait for it"),
-    _number(
+    _integer_option(
+        "table",
+        "poll",
+        500,
+        50,
+        60_000,
+        "ms",
+        "shortest time between two polls",
+    ),
+    _integer_option(
+        "table", "timeout", 2000, 50, 60_000, "ms", "longest wait for an answer"
+    ),
+    _integer_option(
         "ownership",
         "slots",
         256,
         1,
         65_536,
         "slots",
-        "a power of two; counts only when the service is founded",
+        "a power of two; used only when the service is created",
     ),
-    _number("ownership", "lease", 600, 100, 60_000, "ms", "length of a grant"),
-    _number(
+    _integer_option(
+        "ownership",
+        "lease",
+        600,
+        100,
+        60_000,
+        "ms",
+        "time for which a grant is valid",
+    ),
+    _integer_option(
         "ownership",
         "linger",
         150,
         0,
         60_000,
         "ms",
-        "longest run past the lease's end at a target that does not check"
-        " grants",
+        "longest time that a request may still execute after the lease's end,"
+        " at a target that does not check grants",
     ),
-    _number(
+    _integer_option(
         "ownership",
         "drift",
         10_000,
         0,
         200_000,
         "millionths",
-        "largest relative error between two VMs' clocks",
+        "largest relative error between the clocks of two VMs",
+    ),
+    _integer_option(
+        "ownership", "witnesses", 3, 1, 9, "daemons", "number of witnesses; odd"
     ),
-    _number("ownership", "witnesses", 3, 1, 9, "daemons", "an odd number"),
-    _number(
+    _integer_option(
         "ownership",
         "settle",
         1500,
         0,
         60_000,
         "ms",
-        "time before a new service's slots are given out",
+        "time after the start before a daemon may create the service",
     ),
-    _number(
+    _integer_option(
         "ownership",
         "batch",
         64,
         1,
         4096,
         "slots",
-        "most slots handed over in one transaction",
+        "largest number of slots moved in one transaction",
     ),
-    _number(
+    _integer_option(
         "ownership",
         "anchor",
         0,
         0,
         3_600_000,
         "ms",
-        "an owner that has not read the table for so long stops; owner and"
-        " witnesses lost together are succeeded after it; 0: never",
+        "an owner that has not read the table for this time stops serving, so"
+        " its slots can be taken over even if its witnesses are lost with it;"
+        " 0: no limit",
     ),
-    _number(
+    _integer_option(
         "target",
         "silence",
         2000,
@@ -236,16 +257,16 @@
         "ms",
         "age of the last announcement at which a target counts as absent",
     ),
-    _number(
+    _integer_option(
         "requests",
         "deadline",
         5000,
         1,
         600_000,
         "ms",
-        "for callers that give none",
+        "timeout of requests whose callers give none",
     ),
-    _number(
+    _integer_option(
         "requests",
         "body",
         1_048_576,
@@ -254,7 +275,7 @@
         "bytes",
         "largest request body",
     ),
-    _number(
+    _integer_option(
         "requests",
         "answer",
         4_194_304,
@@ -263,50 +284,50 @@
         "bytes",
         "largest answer of a target",
     ),
-    _number(
+    _integer_option(
         "requests",
         "patience",
         10_000,
         100,
         600_000,
         "ms",
-        "longest time for a whole request to come in",
+        "longest time to receive a whole request",
     ),
-    _number("requests", "key", 512, 1, 8192, "bytes", "longest key"),
-    _number(
+    _integer_option("requests", "key", 512, 1, 8192, "bytes", "longest key"),
+    _integer_option(
         "requests",
         "window",
         120_000,
         1000,
         3_600_000,
         "ms",
-        "how long ids of non-idempotent requests are remembered",
+        "time for which ids of non-idempotent requests are remembered",
     ),
-    _number(
+    _integer_option(
         "requests",
         "remembered",
         100_000,
         100,
         10_000_000,
         "ids",
-        "most ids remembered; older ones count as unknown",
+        "largest number of remembered ids; older ids count as unknown",
     ),
-    _number(
+    _integer_option(
         "requests",
         "skew",
         500,
         0,
         60_000,
         "ms",
-        "largest difference between callers' and daemons' wall clocks",
+        "largest difference between the wall clocks of callers and daemons",
     ),
-    _number(
+    _integer_option(
         "requests",
         "retries",
         20,
         0,
         1000,
         "percent",
-        "legs sent again, as a share of requests",
+        "legs beyond the first of each request, as a share of the requests",
     ),
 )
--- a/tamarackgap/table/tablereader.py
+++ b/tamarackgap/table/tablereader.py
@@ -15,7 +15,8 @@
 _MAX_POLLS_PER_S = 300.0
 _MAX_REFRESHES_PER_S = 600.0
 _MIN_READ_INTERVAL_S = 0.05
-# The table counts as unreachable when reads have failed for this long.
+# When reads have failed for this long, the table counts as unreachable, and a
+# daemon that can't serve releases its lease without waiting for the table.
 _UNREACHABLE_AFTER_S = 1.0
 
 
