--- a/tamarackgap/commands/cmdline.py
+++ b/tamarackgap/commands/cmdline.py
@@ -94,7 +94,7 @@
 @_config_option
 @_json_option
 def check_config(path: pathlib.Path, as_json: bool) -> None:
-    """Check a settings file, and print all settings with their defaults."""
+    """Check a settings file, and print all settings, including defaults."""
     settings = _load_settings(path)
     values = msgspec.to_builtins(settings)
     lines = [f"{name} = {value}" for name, value in values.items()]
--- a/tests/network/test_httppool.py
+++ b/tests/network/test_httppool.py
@@ -8,26 +8,28 @@
 
 
 class Poller:
-    """Keeps what is watched, to be called by hand."""
+    """A poller whose callbacks are called by the test."""
 
     def __init__(self):
-        self.watched = {}
+        self.callbacks = {}
 
-    def watch(self, descriptor, flags, ready):
-        self.watched[descriptor] = ready
+    def watch(self, descriptor, flags, callback):
+        self.callbacks[descriptor] = callback
 
     def modify(self, descriptor, flags):
         pass
 
     def unwatch(self, descriptor):
-        self.watched.pop(descriptor, None)
+        self.callbacks.pop(descriptor, None)
 
     def fire(self, flags):
-        for ready in list(self.watched.values()):
-            ready(flags)
+        for callback in list(self.callbacks.values()):
+            callback(flags)
 
 
 class Timers:
+    """Timers that never fire."""
+
     now = 1.0
 
     def after(self, seconds, call):
@@ -44,14 +46,14 @@
 
 
 @pytest.fixture
-def subject(target):
+def poller_and_pool(target):
     poller = Poller()
     host, port = target.getsockname()
-    link = httppool.ConnectionPool(
+    pool = httppool.ConnectionPool(
         poller, Timers(), f"{host}:{port}", 5.0, 3000
     )
-    yield poller, link
-    link.close()
+    yield poller, pool
+    pool.close()
 
 
 def _connect(poller):
@@ -59,37 +61,39 @@
     poller.fire(sockets.WRITABLE)
 
 
-def test_bytes_are_built_when_the_connection_is_made(subject, target):
-    poller, link = subject
-    built = []
+def test_request_is_built_when_connection_is_established(
+    poller_and_pool, target
+):
+    poller, pool = poller_and_pool
+    build_calls = []
 
     def build():
-        built.append(True)
+        build_calls.append(True)
         return b"GET / HTTP/1.1\r\n\r\n"
 
-    link.send(build, 1.0, lambda outcome: None)
-    assert not built
+    pool.send(build, 1.0, lambda outcome: None)
+    assert not build_calls
     _connect(poller)
-    assert len(built) == 1
+    assert len(build_calls) == 1
     accepted, _ = target.accept()
     with accepted:
         assert accepted.recv(100).startswith(b"GET")
 
 
-def test_what_must_not_be_sent_any_more_is_not(subject):
-    poller, link = subject
+def test_exchange_is_cancelled_if_request_has_no_bytes(poller_and_pool):
+    poller, pool = poller_and_pool
     outcomes = []
-    link.send(lambda: b"", 1.0, outcomes.append)
+    pool.send(lambda: b"", 1.0, outcomes.append)
     _connect(poller)
     assert outcomes == [
         result.Failure(exchanges.Failure(exchanges.Cause.CANCELLED, sent=False))
     ]
 
 
-def test_a_used_connection_builds_at_once(subject, target):
-    poller, link = subject
+def test_request_is_built_at_once_for_idle_connection(poller_and_pool, target):
+    poller, pool = poller_and_pool
     outcomes = []
-    link.send(lambda: b"GET /1 HTTP/1.1\r\n\r\n", 1.0, outcomes.append)
+    pool.send(lambda: b"GET /1 HTTP/1.1\r\n\r\n", 1.0, outcomes.append)
     _connect(poller)
     accepted, _ = target.accept()
     with accepted:
@@ -98,5 +102,5 @@
         time.sleep(0.05)
         poller.fire(sockets.READABLE)
         assert len(outcomes) == 1
-        link.send(lambda: b"GET /2 HTTP/1.1\r\n\r\n", 1.0, outcomes.append)
+        pool.send(lambda: b"GET /2 HTTP/1.1\r\n\r\n", 1.0, outcomes.append)
         assert accepted.recv(100).startswith(b"GET /2")
--- a/tests/network/test_import.py
+++ b/tests/network/test_import.py
@@ -1,16 +1,16 @@
-"""What a daemon does not import, since it would cost start time and memory."""
+"""Checks that a daemon does not import modules that slow down its start."""
 
 import subprocess
 import sys
 
 import pytest
 
-START = "import sys; import tamarackgap.platform.__main__; "
+IMPORT_DAEMON = "import sys; import tamarackgap.platform.__main__; "
 
 
-@pytest.mark.parametrize("name", ["pkg_resources", "numpy", "matplotlib"])
-def test_a_daemon_starts_without(name):
-    code = START + f"sys.exit({name!r} in sys.modules)"
+@pytest.mark.parametrize("module", ["pkg_resources", "numpy", "matplotlib"])
+def test_daemon_does_not_import(module):
+    code = IMPORT_DAEMON + f"sys.exit({module!r} in sys.modules)"
     assert (
         subprocess.run([sys.executable, "-c", code], check=False).returncode
         == 0
--- a/tests/network/test_sockets.py
+++ b/tests/network/test_sockets.py
@@ -7,44 +7,44 @@
 
 
 class Loop(circuits.Component):
-    """A loop that counts its turns that cost an event."""
+    """A loop that counts its `generate_events` events."""
 
-    def __init__(self, direct):
+    def __init__(self, timers_run_in_poller):
         super().__init__()
         self.poller = sockets.Poller().register(self)
         self.timers = scheduler.Scheduler().register(self)
         self.events = 0
-        if direct:
+        if timers_run_in_poller:
             self.poller.run_due = self.timers.run_due
 
     @circuits.handler("generate_events", channel="*", priority=20)
-    def _on_turn(self, event):
+    def _on_generate_events(self, event):
         self.events += 1
 
-    @circuits.handler("told")
-    def _on_told(self):
+    @circuits.handler("finished")
+    def _on_finished(self):
         self.stop()
 
 
-@pytest.mark.parametrize("direct", [True, False])
-def test_sockets_and_timers_are_served_until_an_event_waits(direct):
-    loop = Loop(direct)
-    near, far = socket.socketpair()
-    near.setblocking(False)
-    seen = []
+@pytest.mark.parametrize("timers_run_in_poller", [True, False])
+def test_sockets_and_timers_run_without_loop_events(timers_run_in_poller):
+    loop = Loop(timers_run_in_poller)
+    reader, writer = socket.socketpair()
+    reader.setblocking(False)
+    received = []
 
-    def readable(flags):
-        seen.append(near.recv(10))
-        if len(seen) == 5:
-            loop.fire(circuits.Event.create("told"))
+    def handle_readable(flags):
+        received.append(reader.recv(10))
+        if len(received) == 5:
+            loop.fire(circuits.Event.create("finished"))
 
-    loop.poller.watch(near.fileno(), sockets.READABLE, readable)
+    loop.poller.watch(reader.fileno(), sockets.READABLE, handle_readable)
     for index in range(5):
-        loop.timers.after(0.01 * index, lambda: far.send(b"x"))
-    # Ends the loop where nothing else does.
+        loop.timers.after(0.01 * index, lambda: writer.send(b"x"))
+    # Ends the loop if the socket does not.
     loop.timers.after(5, loop.stop)
-    with near, far:
+    with reader, writer:
         loop.run()
-    assert seen == [b"x"] * 5
-    # One turn that waits, and those of the end.
-    assert (loop.events <= 5) is direct
+    assert received == [b"x"] * 5
+    # With timers in the poller, one event waits and the others end the loop.
+    assert (loop.events <= 5) is timers_run_in_poller
--- a/tests/settings/test_config.py
+++ b/tests/settings/test_config.py
@@ -4,7 +4,7 @@
 
 from tamarackgap.settings import config, options
 
-GOOD = """
+VALID = """
 [daemon]
 deployment = association
 name = seats-0
@@ -23,18 +23,18 @@
     return config.load(path)
 
 
-def test_defaults_fill_what_is_not_given(tmp_path):
-    settings = load(tmp_path, GOOD).unwrap()
+def test_missing_settings_have_defaults(tmp_path):
+    settings = load(tmp_path, VALID).unwrap()
     assert settings.ownership_lease == 600
     assert settings.table_address == "127.0.0.1:9000"
 
 
-def test_the_table_of_options_and_the_fields_agree():
+def test_options_match_fields_of_config():
     fields = [field.name for field in msgspec.structs.fields(config.Config)]
     assert fields == [option.field for option in options.OPTIONS]
 
 
-BAD = [
+INVALID = [
     ("[ownership]\nlease = 5\n", "[ownership] lease = 5: expected whole"),
     ("[ownership]\nlease = soon\n", "lease = soon: expected whole number"),
     ("[ownership]\nslots = 100\n", "slots = 100: expected a power of two"),
@@ -44,9 +44,9 @@
 ]
 
 
-@pytest.mark.parametrize(("extra", "expected"), BAD)
-def test_a_bad_setting_is_named_in_one_line(tmp_path, extra, expected):
-    problem = load(tmp_path, GOOD + extra).failure()
+@pytest.mark.parametrize(("extra", "expected"), INVALID)
+def test_invalid_setting_is_reported_in_one_line(tmp_path, extra, expected):
+    problem = load(tmp_path, VALID + extra).failure()
     assert expected in problem
     assert "daemon.ini" in problem
     assert "\n" not in problem
@@ -62,14 +62,14 @@
         ("127.0.0.1:8001", "127.0.0.1:8000", "expected another address"),
     ],
 )
-def test_a_wrong_value_is_named(tmp_path, old, new, expected):
-    assert expected in load(tmp_path, GOOD.replace(old, new)).failure()
+def test_invalid_value_is_reported(tmp_path, old, new, expected):
+    assert expected in load(tmp_path, VALID.replace(old, new)).failure()
 
 
 @pytest.mark.parametrize("text", ["no section", b"\xff\xfe[", "[a]\n[a]\n"])
-def test_what_is_no_ini_file_is_said(tmp_path, text):
+def test_malformed_ini_file_is_rejected(tmp_path, text):
     assert isinstance(load(tmp_path, text), result.Failure)
 
 
-def test_a_missing_file_is_said(tmp_path):
+def test_missing_file_is_reported(tmp_path):
     assert "cannot be read" in config.load(tmp_path / "none.ini").failure()
