--- a/tests/commands/test_cmdline.py
+++ b/tests/commands/test_cmdline.py
@@ -1,4 +1,4 @@
-"""The command line, against a running deployment and without one."""
+"""Runs the command line against a simulated platform and without one."""
 
 import json
 import threading
@@ -11,7 +11,7 @@
 from tamarackgap.commands import cmdline
 from tamarackgap.placement import records
 
-GOOD = """
+VALID = """
 [daemon]
 deployment = small
 name = seats-0
@@ -24,17 +24,17 @@
 """
 
 
-def run(*words):
-    return testing.CliRunner().invoke(cmdline.cli, list(words))
+def run(*arguments):
+    return testing.CliRunner().invoke(cmdline.cli, list(arguments))
 
 
 @pytest.fixture
 def platform():
-    found = platform_lib.Platform()
+    simulated = platform_lib.Platform()
     address = f"127.0.0.1:{ports.free_ports(1, first=33000, last=34000)}"
-    server = httpd.serve(address, found.handle_request)
+    server = httpd.serve(address, simulated.handle_request)
     threading.Thread(target=server.serve_forever, daemon=True).start()
-    founding = records.Transaction(
+    create_service = records.Transaction(
         "f",
         (),
         (
@@ -43,34 +43,34 @@
             ),
         ),
     )
-    found.table.commit(founding)
-    found.address = address
-    yield found
+    simulated.table.commit(create_service)
+    simulated.address = address
+    yield simulated
     server.shutdown()
     server.server_close()
 
 
-def test_good_settings_are_printed(tmp_path):
+def test_valid_settings_are_printed(tmp_path):
     path = tmp_path / "d.ini"
-    path.write_text(GOOD)
-    found = run("check-config", "--config", str(path), "--json")
-    assert found.exit_code == 0
-    assert json.loads(found.stdout)["daemon_name"] == "seats-0"
+    path.write_text(VALID)
+    output = run("check-config", "--config", str(path), "--json")
+    assert output.exit_code == 0
+    assert json.loads(output.stdout)["daemon_name"] == "seats-0"
 
 
 @pytest.mark.parametrize("command", ["check-config", "daemon", "debug"])
-def test_bad_settings_end_a_command_with_one_line(tmp_path, command):
+def test_invalid_settings_are_reported_in_one_line(tmp_path, command):
     path = tmp_path / "d.ini"
-    path.write_text(GOOD + "[ownership]\nlease = 7\n")
-    found = run(command, "--config", str(path))
-    assert found.exit_code == 2
-    assert found.stderr.count("\n") == 1
-    assert "[ownership] lease = 7: expected whole number" in found.stderr
+    path.write_text(VALID + "[ownership]\nlease = 7\n")
+    output = run(command, "--config", str(path))
+    assert output.exit_code == 2
+    assert output.stderr.count("\n") == 1
+    assert "[ownership] lease = 7: expected whole number" in output.stderr
 
 
-def test_debug_names_libraries():
-    found = json.loads(run("debug", "--json").stdout)
-    assert found["libraries"]["circuits"] != "missing"
+def test_debug_lists_libraries():
+    environment = json.loads(run("debug", "--json").stdout)
+    assert environment["libraries"]["circuits"] != "missing"
 
 
 def test_help_lists_exit_codes():
@@ -79,72 +79,83 @@
     )
 
 
-def test_an_edit_is_accepted_and_shown_with_its_history(platform):
-    where = ("--table", platform.address)
-    found = run(
-        "table", "set", "seats", "north", "weight=50", *where, "--who", "ana"
+def test_edit_is_accepted_and_recorded_in_history(platform):
+    table_option = ("--table", platform.address)
+    output = run(
+        "table",
+        "set",
+        "seats",
+        "north",
+        "weight=50",
+        *table_option,
+        "--who",
+        "ana",
     )
-    assert found.exit_code == 0
-    assert "accepted as version 2; in force at 0 of 0" in found.stdout
-    (line,) = json.loads(run("table", "show", *where, "--json").stdout)
+    assert output.exit_code == 0
+    assert "accepted as version 2; in force at 0 of 0" in output.stdout
+    (line,) = json.loads(run("table", "show", *table_option, "--json").stdout)
     assert (line["weight"], line["version"]) == (50, 2)
-    history = run("table", "history", *where).stdout
+    history = run("table", "history", *table_option).stdout
     assert "ana policy/seats/north: (no row) -> weight=50" in history
 
 
 @pytest.mark.parametrize("columns", [["weight=1001"], ["wait=1"], []])
-def test_a_row_out_of_range_is_refused(platform, columns):
-    found = run(
+def test_invalid_columns_are_refused(platform, columns):
+    output = run(
         "table", "set", "seats", "north", *columns, "--table", platform.address
     )
-    assert found.exit_code == 2
-    assert found.stderr.count("\n") == 1
+    assert output.exit_code == 2
+    assert output.stderr.count("\n") == 1
     assert platform.table.writes == 1
 
 
-def test_an_unknown_service_is_refused(platform):
-    where = ("--table", platform.address)
-    found = run("table", "set", "saets", "north", "weight=1", *where)
-    assert found.exit_code == 2
-    assert "saets: no such service" in found.stderr
+def test_unknown_service_is_refused(platform):
+    table_option = ("--table", platform.address)
+    output = run("table", "set", "saets", "north", "weight=1", *table_option)
+    assert output.exit_code == 2
+    assert "saets: no such service" in output.stderr
 
 
-def test_an_edit_on_an_old_version_is_refused(platform):
-    where = ("--table", platform.address)
+def test_edit_of_outdated_version_is_refused(platform):
+    table_option = ("--table", platform.address)
     base = ("table", "set", "seats", "north")
-    assert run(*base, "weight=5", *where, "--version", "0").exit_code == 0
-    found = run(*base, "weight=6", *where, "--version", "0")
-    assert found.exit_code == 3
-    assert "is at version 2, not 0" in found.stderr
+    assert (
+        run(*base, "weight=5", *table_option, "--version", "0").exit_code == 0
+    )
+    output = run(*base, "weight=6", *table_option, "--version", "0")
+    assert output.exit_code == 3
+    assert "is at version 2, not 0" in output.stderr
 
 
-def test_an_edit_whose_answer_is_lost_is_made_once(platform):
+def test_edit_with_lost_answer_is_applied_once(platform):
     platform.faults.lose_answers = 1.0
     timer = threading.Timer(
         0.5, lambda: setattr(platform.faults, "lose_answers", 0.0)
     )
     timer.start()
-    where = ("--table", platform.address)
-    found = run("table", "set", "seats", "north", "weight=5", *where)
+    table_option = ("--table", platform.address)
+    output = run("table", "set", "seats", "north", "weight=5", *table_option)
     timer.join()
-    assert found.exit_code == 0
-    history = json.loads(run("table", "history", *where, "--json").stdout)
+    assert output.exit_code == 0
+    history = json.loads(
+        run("table", "history", *table_option, "--json").stdout
+    )
     assert len(history) == 1
 
 
-def test_a_table_that_is_down_is_said(platform):
+def test_unreachable_table_is_reported(platform):
     platform.faults.down = True
-    found = run("table", "show", "--table", platform.address)
-    assert found.exit_code == 4
-    assert found.stderr.count("\n") == 1
+    output = run("table", "show", "--table", platform.address)
+    assert output.exit_code == 4
+    assert output.stderr.count("\n") == 1
 
 
-def test_a_daemon_that_is_down_is_said():
-    found = run("status", "--daemon", "127.0.0.1:1")
-    assert found.exit_code == 4
+def test_unreachable_daemon_is_reported():
+    output = run("status", "--daemon", "127.0.0.1:1")
+    assert output.exit_code == 4
 
 
-def test_lost_closes_a_lease_only_when_confirmed(platform):
+def test_lost_closes_lease_only_after_confirmation(platform):
     record = records.LeaseRecord(
         "seats", "seats-9", "i9", "north", "127.0.0.1:1", "127.0.0.1:2"
     )
@@ -153,14 +164,14 @@
             "l", (), (records.Write(record.key, records.encode(record)),)
         )
     )
-    where = ("--table", platform.address)
-    unsure = testing.CliRunner().invoke(
-        cmdline.cli, ["lost", "seats-9", *where], input="n\n"
+    table_option = ("--table", platform.address)
+    unconfirmed = testing.CliRunner().invoke(
+        cmdline.cli, ["lost", "seats-9", *table_option], input="n\n"
     )
-    assert unsure.exit_code == 1
-    assert run("lost", "seats-9", *where, "--yes").exit_code == 0
+    assert unconfirmed.exit_code == 1
+    assert run("lost", "seats-9", *table_option, "--yes").exit_code == 0
     row = next(
-        r for r in platform.table.rows_since(0)[1] if r.key == record.key
+        row for row in platform.table.rows_since(0)[1] if row.key == record.key
     )
     assert row.value is None
-    assert run("lost", "seats-9", *where, "--yes").exit_code == 1
+    assert run("lost", "seats-9", *table_option, "--yes").exit_code == 1
--- a/tests/commands/test_policy.py
+++ b/tests/commands/test_policy.py
@@ -8,7 +8,7 @@
 KEY = "policy/seats/*"
 
 
-def test_columns_are_read():
+def test_columns_are_parsed():
     assert policy.parse_columns(["weight=0", "queue=9"]).unwrap() == {
         "weight": 0,
         "queue": 9,
@@ -28,37 +28,37 @@
         ),
     ],
 )
-def test_a_row_out_of_range_is_refused(text, expected):
+def test_invalid_column_is_refused(text, expected):
     assert policy.parse_columns([text]).failure() == expected
 
 
-def test_nothing_to_set_is_refused():
+def test_edit_without_columns_is_refused():
     assert "nothing to set" in policy.parse_columns([]).failure()
 
 
-def row(table):
-    found = [row for row in table.rows_since(0)[1] if row.key == KEY]
-    return found[0] if found else None
+def policy_row(table):
+    rows = [row for row in table.rows_since(0)[1] if row.key == KEY]
+    return rows[0] if rows else None
 
 
-def test_of_two_operators_at_once_one_wins_and_the_other_is_told():
+def test_one_of_two_concurrent_edits_is_refused():
     table = table_lib.Table()
-    first = policy.build_edit(row(table), KEY, {"weight": 1}, "ana", 1)
-    second = policy.build_edit(row(table), KEY, {"weight": 2}, "hoa", 2)
+    first = policy.build_edit(policy_row(table), KEY, {"weight": 1}, "ana", 1)
+    second = policy.build_edit(policy_row(table), KEY, {"weight": 2}, "hoa", 2)
     assert table.commit(first.transaction)[0]
     assert not table.commit(second.transaction)[0]
-    third = policy.build_edit(row(table), KEY, {"queue": 5}, "hoa", 3)
+    third = policy.build_edit(policy_row(table), KEY, {"queue": 5}, "hoa", 3)
     assert table.commit(third.transaction)[0]
-    now = msgspec.json.decode(row(table).value, type=records.Policy)
-    assert (now.weight, now.queue) == (1, 5)
+    current = msgspec.json.decode(policy_row(table).value, type=records.Policy)
+    assert (current.weight, current.queue) == (1, 5)
 
 
-def test_an_edit_sent_twice_takes_effect_once():
+def test_edit_sent_twice_is_applied_once():
     table = table_lib.Table()
     edit = policy.build_edit(None, KEY, {"weight": 1}, "ana", 1)
     assert table.commit(edit.transaction)[0]
     assert not table.commit(edit.transaction)[0]
     history = [
-        r for r in table.rows_since(0)[1] if r.key.startswith("history/")
+        row for row in table.rows_since(0)[1] if row.key.startswith("history/")
     ]
     assert len(history) == 1
--- a/tests/network/test_sockets.py
+++ b/tests/network/test_sockets.py
@@ -21,8 +21,8 @@
     def _on_generate_events(self, event):
         self.events += 1
 
-    @circuits.handler("finished")
-    def _on_finished(self):
+    @circuits.handler("all_received")
+    def _on_all_received(self):
         self.stop()
 
 
@@ -36,7 +36,7 @@
     def handle_readable(flags):
         received.append(reader.recv(10))
         if len(received) == 5:
-            loop.fire(circuits.Event.create("finished"))
+            loop.fire(circuits.Event.create("all_received"))
 
     loop.poller.watch(reader.fileno(), sockets.READABLE, handle_readable)
     for index in range(5):
--- a/tests/table/test_tablereader.py
+++ b/tests/table/test_tablereader.py
@@ -7,7 +7,7 @@
 
 
 class Timers:
-    """Timers on a made-up clock."""
+    """Timers on a simulated clock."""
 
     def __init__(self):
         self.now = 0.0
@@ -17,7 +17,7 @@
         self.due.append((self.now + seconds, call))
 
     def run(self, until):
-        while self.due and min(self.due, key=lambda d: d[0])[0] <= until:
+        while self.due and min(self.due, key=lambda due: due[0])[0] <= until:
             first = min(self.due, key=lambda due: due[0])
             self.due.remove(first)
             self.now = max(self.now, first[0])
@@ -26,7 +26,7 @@
 
 
 class Table:
-    """Answers each read at once."""
+    """A table that answers each read at once."""
 
     def __init__(self):
         self.up = True
@@ -38,7 +38,7 @@
         done(answer if self.up else result.Failure("closed"))
 
 
-def make(pause=6.0):
+def make(poll_interval=6.0):
     settings = effects.Settings("s", "d", "a", "127.0.0.1:1", "127.0.0.1:2")
     timers = Timers()
     table = Table()
@@ -46,19 +46,19 @@
         settings, random.Random(1), lambda slot: False, 0.0
     )
     reader = tablereader.TableReader(
-        table, core, timers, random.Random(1), pause, lambda: None
+        table, core, timers, random.Random(1), poll_interval, lambda: None
     )
     return timers, table, reader
 
 
-def test_it_polls_with_a_pause():
+def test_reader_polls_at_interval():
     timers, table, reader = make()
     reader.poll()
     timers.run(20.0)
     assert table.reads == 4
 
 
-def test_changes_heard_of_at_once_make_one_read():
+def test_several_changes_cause_one_read():
     timers, table, reader = make()
     reader.poll()
     timers.run(1.0)
@@ -68,9 +68,9 @@
     assert table.reads == 2
 
 
-def test_a_table_that_is_polled_seldom_is_not_silent():
-    # Silence was counted from the last answer: with polls six seconds
-    # apart, as for 1,800 daemons, every table counted as down.
+def test_rarely_polled_table_is_not_unreachable():
+    # Guards against counting the time since the last answer: with polls six
+    # seconds apart, as for 1,800 daemons, each table counted as unreachable.
     timers, table, reader = make()
     reader.poll()
     timers.run(5.0)
