--- a/tests/commands/test_cmdline.py
+++ b/tests/commands/test_cmdline.py
@@ -53,19 +53,19 @@
 def test_valid_settings_are_printed(tmp_path):
     path = tmp_path / "d.ini"
     path.write_text(VALID)
-    output = run("check-config", "--config", str(path), "--json")
-    assert output.exit_code == 0
-    assert json.loads(output.stdout)["daemon_name"] == "seats-0"
+    result = run("check-config", "--config", str(path), "--json")
+    assert result.exit_code == 0
+    assert json.loads(result.stdout)["daemon_name"] == "seats-0"
 
 
 @pytest.mark.parametrize("command", ["check-config", "daemon", "debug"])
 def test_invalid_settings_are_reported_in_one_line(tmp_path, command):
     path = tmp_path / "d.ini"
     path.write_text(VALID + "[ownership]\nlease = 7\n")
-    output = run(command, "--config", str(path))
-    assert output.exit_code == 2
-    assert output.stderr.count("\n") == 1
-    assert "[ownership] lease = 7: expected whole number" in output.stderr
+    result = run(command, "--config", str(path))
+    assert result.exit_code == 2
+    assert result.stderr.count("\n") == 1
+    assert "[ownership] lease = 7: expected whole number" in result.stderr
 
 
 def test_debug_lists_libraries():
@@ -75,13 +75,13 @@
 
 def test_help_lists_exit_codes():
     assert (
-        "somebody else edited the row" in run("table", "set", "--help").output
+        "somebody else edited the row" in run("table", "set", "--help").result
     )
 
 
 def test_edit_is_accepted_and_recorded_in_history(platform):
     table_option = ("--table", platform.address)
-    output = run(
+    result = run(
         "table",
         "set",
         "seats",
@@ -91,8 +91,8 @@
         "--who",
         "ana",
     )
-    assert output.exit_code == 0
-    assert "accepted as version 2; in force at 0 of 0" in output.stdout
+    assert result.exit_code == 0
+    assert "accepted as version 2; in force at 0 of 0" in result.stdout
     (line,) = json.loads(run("table", "show", *table_option, "--json").stdout)
     assert (line["weight"], line["version"]) == (50, 2)
     history = run("table", "history", *table_option).stdout
@@ -101,19 +101,19 @@
 
 @pytest.mark.parametrize("columns", [["weight=1001"], ["wait=1"], []])
 def test_invalid_columns_are_refused(platform, columns):
-    output = run(
+    result = run(
         "table", "set", "seats", "north", *columns, "--table", platform.address
     )
-    assert output.exit_code == 2
-    assert output.stderr.count("\n") == 1
+    assert result.exit_code == 2
+    assert result.stderr.count("\n") == 1
     assert platform.table.writes == 1
 
 
 def test_unknown_service_is_refused(platform):
     table_option = ("--table", platform.address)
-    output = run("table", "set", "saets", "north", "weight=1", *table_option)
-    assert output.exit_code == 2
-    assert "saets: no such service" in output.stderr
+    result = run("table", "set", "saets", "north", "weight=1", *table_option)
+    assert result.exit_code == 2
+    assert "saets: no such service" in result.stderr
 
 
 def test_edit_of_outdated_version_is_refused(platform):
@@ -122,9 +122,9 @@
     assert (
         run(*base, "weight=5", *table_option, "--version", "0").exit_code == 0
     )
-    output = run(*base, "weight=6", *table_option, "--version", "0")
-    assert output.exit_code == 3
-    assert "is at version 2, not 0" in output.stderr
+    result = run(*base, "weight=6", *table_option, "--version", "0")
+    assert result.exit_code == 3
+    assert "is at version 2, not 0" in result.stderr
 
 
 def test_edit_with_lost_answer_is_applied_once(platform):
@@ -134,9 +134,9 @@
     )
     timer.start()
     table_option = ("--table", platform.address)
-    output = run("table", "set", "seats", "north", "weight=5", *table_option)
+    result = run("table", "set", "seats", "north", "weight=5", *table_option)
     timer.join()
-    assert output.exit_code == 0
+    assert result.exit_code == 0
     history = json.loads(
         run("table", "history", *table_option, "--json").stdout
     )
@@ -145,14 +145,14 @@
 
 def test_unreachable_table_is_reported(platform):
     platform.faults.down = True
-    output = run("table", "show", "--table", platform.address)
-    assert output.exit_code == 4
-    assert output.stderr.count("\n") == 1
+    result = run("table", "show", "--table", platform.address)
+    assert result.exit_code == 4
+    assert result.stderr.count("\n") == 1
 
 
 def test_unreachable_daemon_is_reported():
-    output = run("status", "--daemon", "127.0.0.1:1")
-    assert output.exit_code == 4
+    result = run("status", "--daemon", "127.0.0.1:1")
+    assert result.exit_code == 4
 
 
 def test_lost_closes_lease_only_after_confirmation(platform):
