--- a/tamarackgap/network/exchanges.py
+++ b/tamarackgap/network/exchanges.py
@@ -12,11 +12,14 @@
 class Cause(enum.Enum):
     """The reason why a request has no answer."""
 
-    # The connection was refused: no process listens at the address.
+    # No process listens at the address. `httpclient` reports UNREACHABLE then.
     REFUSED = "refused"
+    # No connection could be established.
     UNREACHABLE = "unreachable"
+    # The connection ended before an answer arrived.
     CLOSED = "closed"
     TIMEOUT = "timeout"
+    # The connection ended within the answer.
     TRUNCATED = "truncated"
     MALFORMED = "malformed"
     TOO_LARGE = "too-large"
--- a/tamarackgap/network/httpserver.py
+++ b/tamarackgap/network/httpserver.py
@@ -54,8 +54,7 @@
     """A request that has been received completely and can be answered.
 
     Attributes:
-        received_at: Monotonic time when the parser met the request's first
-            byte, seconds.
+        received_at: Monotonic time of the request's first byte, seconds.
         method: HTTP method.
         target: Path and query.
         headers: Header names in lower case, and values, in the order received.
--- a/tamarackgap/table/tablereader.py
+++ b/tamarackgap/table/tablereader.py
@@ -1,4 +1,4 @@
-"""Reads the table's changes at a rate that is limited over all daemons."""
+"""Reads the table's changes, at a rate limited for all daemons together."""
 
 import random
 from collections.abc import Callable
@@ -10,8 +10,8 @@
 from tamarackgap.ownership import ownership
 from tamarackgap.table import tableclient
 
-# The table handles about 2,000 reads a second. The two rates are shared by all
-# daemons in the table.
+# The table handles about 2,000 reads a second in total. The two rates are
+# shared by all daemons in the table.
 _MAX_POLLS_PER_S = 300.0
 _MAX_REFRESHES_PER_S = 600.0
 _MIN_READ_INTERVAL_S = 0.05
--- a/tests/commands/test_cmdline.py
+++ b/tests/commands/test_cmdline.py
@@ -75,7 +75,7 @@
 
 def test_help_lists_exit_codes():
     assert (
-        "somebody else edited the row" in run("table", "set", "--help").result
+        "somebody else edited the row" in run("table", "set", "--help").output
     )
 
 
--- a/tests/network/test_import.py
+++ b/tests/network/test_import.py
@@ -1,4 +1,4 @@
-"""Checks that a daemon does not import modules that slow down its start."""
+"""Checks that a daemon does not import modules that cost time and memory."""
 
 import subprocess
 import sys
