--- a/tamarackgap/commands/control.py
+++ b/tamarackgap/commands/control.py
@@ -172,6 +172,13 @@
     """Returns how many daemons have read the table up to a revision.
 
     A daemon that does not answer counts as one that has not.
+
+    Args:
+        address: The table's `ip:port`.
+        revision: The revision.
+
+    Raises:
+        exceptions.TableError: If the table does not answer.
     """
     members = open_leases(read_rows(address).rows)
     applied = 0
@@ -200,6 +207,9 @@
 
     Returns:
         The result of the last round.
+
+    Raises:
+        exceptions.TableError: If the table does not answer.
     """
     deadline = time.monotonic() + seconds
     while True:
@@ -213,6 +223,9 @@
 def daemon_status(address: str) -> pages.Status:
     """Returns a daemon's status.
 
+    Args:
+        address: `ip:port` of the daemon's HTTP server.
+
     Raises:
         OSError: If the daemon does not answer.
     """
@@ -223,6 +236,10 @@
 def close_lost(address: str, daemon: str) -> int:
     """Closes the lease records of a daemon that an operator knows to be lost.
 
+    Args:
+        address: The table's `ip:port`.
+        daemon: Name of the daemon.
+
     Returns:
         The number of closed records.
 
--- a/tamarackgap/network/httpclient.py
+++ b/tamarackgap/network/httpclient.py
@@ -114,7 +114,12 @@
     def __init__(
         self, poller: pollers.BasePoller, timers: scheduler.Scheduler
     ) -> None:
-        """Creates a client without connections."""
+        """Creates a client without connections.
+
+        Args:
+            poller: The loop's poller.
+            timers: The loop's scheduler.
+        """
         super().__init__()
         self._poller = poller
         self._timers = timers
--- a/tamarackgap/network/sockets.py
+++ b/tamarackgap/network/sockets.py
@@ -1,4 +1,4 @@
-"""Calls callbacks of sockets on the circuits loop without circuits events."""
+"""Watches sockets on the circuits loop, without an event for each readiness."""
 
 import errno
 import select
@@ -76,7 +76,11 @@
 
 
 def listen(address: str, backlog: int) -> socket.socket:
-    """Returns a non-blocking socket that listens at `ip:port`.
+    """Returns a non-blocking socket that listens.
+
+    Args:
+        address: `ip:port`.
+        backlog: Largest number of connections that wait to be accepted.
 
     Raises:
         OSError: If the address can't be bound.
