--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and prints them."""
+"""Marks the tests that KNOWN-RED.txt lists as expected to fail."""
 
 import pathlib
 
@@ -7,7 +7,7 @@
 KNOWN_RED = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
 
 
-def _listed():
+def _known_red_tests():
     if not KNOWN_RED.exists():
         return set()
     prefix = "test:"
@@ -19,14 +19,16 @@
 
 
 def pytest_collection_modifyitems(items):
-    listed = _listed()
+    known_red = _known_red_tests()
     for item in items:
-        if item.nodeid in listed:
+        if item.nodeid in known_red:
             item.add_marker(
                 pytest.mark.xfail(reason="KNOWN-RED.txt", strict=False)
             )
 
 
 def pytest_terminal_summary(terminalreporter):
-    for name in sorted(_listed()):
-        terminalreporter.write_line(f"known red, passed over: {name}")
+    for name in sorted(_known_red_tests()):
+        terminalreporter.write_line(
+            f"listed in KNOWN-RED.txt, may fail: {name}"
+        )
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -1,4 +1,4 @@
-"""What a caller or operator does, in one call."""
+"""Sends requests to daemons, as callers and operators do."""
 
 import http.client
 import json
@@ -7,28 +7,47 @@
 TIMEOUT_S = 30.0
 
 
-def send_request(place, method, path, body=b"", **headers):
-    """Returns status, verdict and body of one request to a daemon."""
-    host, _, port = place.http.rpartition(":")
-    link = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
-    named = {name.replace("_", "-"): text for name, text in headers.items()}
-    link.request(method, path, body, named)
-    answer = link.getresponse()
-    data = answer.read()
-    link.close()
-    return answer.status, answer.headers["X-Verdict"], data
-
-
-def wait_until(check):
-    """Waits until something holds."""
-    give_up = time.monotonic() + TIMEOUT_S
-    while not check():
-        assert time.monotonic() < give_up, "it did not come about"
+def send_request(vm, method, path, body=b"", **headers):
+    """Returns status, verdict and body of the response to a request.
+
+    Args:
+        vm: The VM whose daemon gets the request.
+        method: HTTP method.
+        path: Path and query.
+        body: Body of the request.
+        **headers: Header fields, with `_` for `-` in their names.
+    """
+    host, _, port = vm.http.rpartition(":")
+    connection = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
+    fields = {name.replace("_", "-"): text for name, text in headers.items()}
+    connection.request(method, path, body, fields)
+    response = connection.getresponse()
+    data = response.read()
+    connection.close()
+    return response.status, response.headers["X-Verdict"], data
+
+
+def wait_until(condition):
+    """Waits until a condition holds, and fails after `TIMEOUT_S`."""
+    deadline = time.monotonic() + TIMEOUT_S
+    while not condition():
+        assert time.monotonic() < deadline, (
+            "the condition did not become true in time"
+        )
         time.sleep(0.05)
 
 
-def owner_of(running, service, key, entry=0):
-    """Returns the VM whose daemon owns a key."""
+def owner_of(cluster, service, key, entry=0):
+    """Returns the VM whose daemon owns a key.
+
+    Args:
+        cluster: The cluster.
+        service: The key's service.
+        key: The key.
+        entry: Index of the VM whose daemon is asked.
+    """
     path = f"/explain?service={service}&key={key}"
-    found = json.loads(send_request(running.places[entry], "GET", path)[2])
-    return running.place(found["daemon"])
+    explanation = json.loads(
+        send_request(cluster.places[entry], "GET", path)[2]
+    )
+    return cluster.place(explanation["daemon"])
--- a/tests/support/clusters.py
+++ b/tests/support/clusters.py
@@ -1,4 +1,4 @@
-"""A small deployment of real processes, for tests."""
+"""Starts a small deployment of real processes for tests."""
 
 from demo import cluster, deployments
 from standins import ports
@@ -18,6 +18,7 @@
     ),
 )
 READY_TIMEOUT_S = 60.0
+# Milliseconds, except for the number of slots.
 FAST_SETTINGS = {
     "ownership": {"slots": 32, "settle": 500},
     "table": {"poll": 200},
@@ -25,7 +26,15 @@
 
 
 def small_cluster(folder, **requests):
-    """Returns a started cluster whose slots are all owned."""
+    """Returns a started cluster whose slots are owned and evenly spread.
+
+    Args:
+        folder: Folder for settings, logs and the targets' records of runs.
+        **requests: Settings of the section `requests`, for every daemon.
+
+    Raises:
+        RuntimeError: If that takes longer than `READY_TIMEOUT_S`.
+    """
     overrides = dict(FAST_SETTINGS)
     if requests:
         overrides["requests"] = requests
@@ -39,5 +48,5 @@
     running.start()
     if running.ready(READY_TIMEOUT_S) is None:
         running.stop()
-        raise RuntimeError("the cluster did not get ready")
+        raise RuntimeError("some slots have no owner or are spread unevenly")
     return running
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -1,7 +1,9 @@
-"""Several daemons' ownership logic on one stepped clock.
+"""Simulates the ownership logic of several daemons on one stepped clock.
 
-Messages and table answers pass through a queue with seeded delays; faults
-are switched per daemon. After each step every slot is judged.
+Messages and answers of the table pass through a queue with seeded delays.
+Faults are switched on and off for each daemon. After each step every slot is
+checked for a second owner, and for a fence that did not rise when the owner
+changed.
 """
 
 import heapq
@@ -16,7 +18,26 @@
 
 
 class SimulatedDaemon:
-    """One daemon in the world, with its own clock."""
+    """One daemon of the simulation, with its own clock.
+
+    Attributes:
+        offset: What its clock shows at time 0 of the simulation, seconds.
+        rate: Seconds of its clock per second of the simulation.
+        start: Time of its start in the simulation, seconds.
+        paused: Whether it takes no steps, as a stopped process does.
+        outbound_cut: Whether all messages that it sends are lost.
+        inbound_cut: Whether all messages to it are lost.
+        writes_lost: Whether its writes to the table are lost.
+        table_isolated: Whether its reads and writes of the table fail, and
+            rows that other daemons send to it are lost.
+        busy_slots: Slots with requests in progress, which cannot be moved.
+        inbox: Encoded messages to be processed in its next step.
+        reading: Whether a read of the table is under way.
+        next_read_at: Time of its next read, seconds of the simulation.
+        next_load_report_at: Time of its next report of its load to its
+            ownership logic, seconds of the simulation.
+        core: Its ownership logic.
+    """
 
     def __init__(self, name, settings, rng, start, rate):
         self.name = name
@@ -25,10 +46,8 @@
         self.start = start
         self.alive = True
         self.paused = False
-        # Messages are lost on their way out, on their way in.
         self.outbound_cut = False
         self.inbound_cut = False
-        # Its writes are lost; it reads nothing new of the table, from anybody.
         self.writes_lost = False
         self.table_isolated = False
         self.busy_slots = set()
@@ -45,11 +64,30 @@
         self.core.set_target_state(True)
 
     def clock(self, now):
+        """Returns what its clock shows at a time of the simulation."""
         return self.offset + now * self.rate
 
 
 class Simulation:
-    """The daemons, the table and the messages between them."""
+    """The daemons, the table and the messages between them.
+
+    Attributes:
+        now: Time since the start, seconds.
+        table_up: Whether the table answers.
+        answer_loss_rate: Share of writes whose answer is lost.
+        table_delay: Time from a daemon to the table or back, seconds.
+        message_loss_rate: Share of messages between daemons that are lost.
+        targets_release: Whether targets release slots that are to be moved.
+        max_message_delay: Longest delay of a message, seconds.
+        daemons: The latest process of each daemon, by the daemon's name.
+        settings: Settings of all daemons that differ from the usual ones.
+        log: Event and fields of each log line, with the daemon as `at`.
+        current_gap: Time for which each slot has had no owner, seconds, by
+            service and slot.
+        longest_gap: The longest such time.
+        violations: What the checks of the slots found, with the time.
+        fences: Latest fence and owner, by service and slot.
+    """
 
     def __init__(self, seed=1, **settings):
         self.rng = random.Random(seed)
@@ -59,7 +97,6 @@
         self.answer_loss_rate = 0.0
         self.table_delay = 0.002
         self.message_loss_rate = 0.0
-        # Whether targets release slots that are to move.
         self.targets_release = True
         self.max_message_delay = 0.004
         self.daemons = {}
@@ -74,6 +111,7 @@
         self._ports = itertools.count(1)
 
     def add_daemon(self, name, data_centre, service="seats", port=None):
+        """Starts a daemon, and returns it."""
         port = port or next(self._ports)
         settings = effects.Settings(
             service=service,
@@ -89,6 +127,7 @@
         return daemon
 
     def deploy(self, count=5, data_centres=("a", "b", "c"), service="seats"):
+        """Starts daemons spread evenly over the data centres."""
         for index in range(count):
             self.add_daemon(
                 f"{service}-{index}",
@@ -97,43 +136,59 @@
             )
 
     def cut(self, name, outbound=True, inbound=True):
+        """Cuts a daemon off from messages in one or both directions."""
         daemon = self.daemons[name]
         daemon.outbound_cut = outbound
         daemon.inbound_cut = inbound
 
     def reconnect(self, name):
+        """Undoes `cut`."""
         self.cut(name, outbound=False, inbound=False)
 
     def kill(self, name):
+        """Ends a daemon's process at once."""
         self.daemons[name].alive = False
 
     def restart(self, name):
+        """Replaces a daemon by a new process at the same address."""
         old = self.daemons[name]
         old.alive = False
         port = int(old.core.settings.peer_address.split(":")[1])
-        place = old.core.settings.data_centre
-        return self.add_daemon(name, place, old.core.settings.service, port)
+        data_centre = old.core.settings.data_centre
+        return self.add_daemon(
+            name, data_centre, old.core.settings.service, port
+        )
 
     def run(self, seconds, until=None):
-        """Steps the world; returns the time until `until` held, or None."""
-        begun = self.now
-        while self.now - begun < seconds:
+        """Runs the simulation for a time, or until a condition holds.
+
+        Args:
+            seconds: Longest time to run.
+            until: Condition that ends the run, if any.
+
+        Returns:
+            Seconds until the condition held, or None.
+        """
+        started_at = self.now
+        while self.now - started_at < seconds:
             self.step()
             if until is not None and until():
-                return self.now - begun
+                return self.now - started_at
         return None
 
     def step(self):
+        """Advances the clock by one step, and checks every slot."""
         self.now += STEP_S
         while self._queue and self._queue[0][0] <= self.now:
             _, _, action = heapq.heappop(self._queue)
             action()
         for daemon in list(self.daemons.values()):
             if daemon.alive and not daemon.paused:
-                self._turn(daemon)
-        self._judge()
+                self._step_daemon(daemon)
+        self._check_slots()
 
     def serving_daemons(self, slot, service="seats"):
+        """Returns the names of all daemons that would serve a slot now."""
         return [
             daemon.name
             for daemon in self.daemons.values()
@@ -143,11 +198,13 @@
         ]
 
     def all_slots_served(self, service="seats", slot_count=32):
+        """Returns whether each slot of a service has a serving daemon."""
         return all(
             self.serving_daemons(slot, service) for slot in range(slot_count)
         )
 
     def slot_counts(self, service="seats"):
+        """Returns how many slots each daemon of a service owns, by name."""
         return {
             daemon.name: len(daemon.core.owned)
             for daemon in self.daemons.values()
@@ -155,18 +212,21 @@
         }
 
     def is_balanced(self):
+        """Returns whether all slots are served and spread almost evenly."""
         counts = self.slot_counts().values()
         return self.all_slots_served() and max(counts) - min(counts) <= 3
 
     def events(self, name):
+        """Returns the fields of all log lines of one event."""
         return [fields for event, fields in self.log if event == name]
 
     def schedule(self, delay, action):
+        """Calls a function after a delay in seconds."""
         heapq.heappush(
             self._queue, (self.now + delay, next(self._order), action)
         )
 
-    def _turn(self, daemon):
+    def _step_daemon(self, daemon):
         clock = daemon.clock(self.now)
         for frame in daemon.inbox:
             daemon.core.receive(messages.decode(frame), clock)
@@ -202,18 +262,18 @@
                 self.log.append((event, {"at": daemon.name, **fields}))
             case effects.ReadTable():
                 daemon.next_read_at = self.now
-            case effects.ReleaseSlots(slots=moving):
-                if moving and self.targets_release:
+            case effects.ReleaseSlots(slots=slots):
+                if slots and self.targets_release:
                     daemon.core.slots_released({})
 
     def _send(self, daemon, address, frame):
         if daemon.outbound_cut or self.rng.random() < self.message_loss_rate:
             return
 
-        def arrive():
+        def deliver():
             for other in self.daemons.values():
-                same = other.core.settings.peer_address == address
-                if not same or not other.alive or other.inbound_cut:
+                addressed = other.core.settings.peer_address == address
+                if not addressed or not other.alive or other.inbound_cut:
                     continue
                 message = messages.decode(frame).message
                 if not (
@@ -221,19 +281,19 @@
                 ):
                     other.inbox.append(frame)
 
-        self.schedule(self.rng.uniform(0.0005, self.max_message_delay), arrive)
+        self.schedule(self.rng.uniform(0.0005, self.max_message_delay), deliver)
 
     def _commit(self, daemon, transaction):
         core = daemon.core
 
-        def answer(state, rows):
+        def deliver_answer(state, rows):
             clock = daemon.clock(self.now)
             core.handle_commit_result(transaction.change, state, rows, clock)
 
-        def arrive():
+        def apply():
             if not self.table_up or daemon.writes_lost or daemon.table_isolated:
                 unknown = effects.CommitState.UNKNOWN
-                self.schedule(0.05, lambda: answer(unknown, []))
+                self.schedule(0.05, lambda: deliver_answer(unknown, []))
                 return
             committed, rows = self.table.commit(transaction)
             state = (
@@ -243,15 +303,15 @@
             )
             if self.rng.random() < self.answer_loss_rate:
                 state, rows = effects.CommitState.UNKNOWN, []
-            self.schedule(self.table_delay, lambda: answer(state, rows))
+            self.schedule(self.table_delay, lambda: deliver_answer(state, rows))
 
-        self.schedule(self.table_delay, arrive)
+        self.schedule(self.table_delay, apply)
 
     def _read(self, daemon):
         daemon.reading = True
         core = daemon.core
 
-        def arrive():
+        def finish():
             daemon.reading = False
             daemon.next_read_at = self.now + 0.25
             if (
@@ -265,37 +325,49 @@
             revision, rows = self.table.rows_since(core.view.cursor)
             core.apply_table_read(rows, revision, daemon.clock(self.now))
 
-        self.schedule(2 * self.table_delay, arrive)
+        self.schedule(2 * self.table_delay, finish)
 
-    def _judge(self):
+    def _check_slots(self):
         owners = {}
         for daemon in self.daemons.values():
             if not daemon.alive:
                 continue
             clock = daemon.clock(self.now)
-            for slot, held in daemon.core.owned.items():
+            for slot, owned in daemon.core.owned.items():
                 if daemon.core.refusal(slot, clock) is None:
-                    place = (daemon.core.settings.service, slot)
-                    owners.setdefault(place, []).append((daemon.name, held))
-        for place, found in owners.items():
-            if len(found) > 1:
-                self.violations.append((round(self.now, 3), place, found))
-            name, held = found[0]
-            last = self.fences.get(place)
-            if last is not None and held.fence < last[0]:
-                self.violations.append((round(self.now, 3), "fence", place))
-            if last is not None and held.fence == last[0] and name != last[1]:
-                self.violations.append((round(self.now, 3), "same", place))
-            self.fences[place] = (held.fence, name)
+                    slot_key = (daemon.core.settings.service, slot)
+                    owners.setdefault(slot_key, []).append((daemon.name, owned))
+        for slot_key, slot_owners in owners.items():
+            if len(slot_owners) > 1:
+                self.violations.append(
+                    (round(self.now, 3), slot_key, slot_owners)
+                )
+            name, owned = slot_owners[0]
+            previous = self.fences.get(slot_key)
+            if previous is not None and owned.fence < previous[0]:
+                self.violations.append(
+                    (round(self.now, 3), "lower fence", slot_key)
+                )
+            if (
+                previous is not None
+                and owned.fence == previous[0]
+                and name != previous[1]
+            ):
+                self.violations.append(
+                    (round(self.now, 3), "same fence", slot_key)
+                )
+            self.fences[slot_key] = (owned.fence, name)
         self._measure_gaps(owners)
 
     def _measure_gaps(self, owners):
-        for place in self.fences:
-            if place in owners:
-                self.current_gap[place] = 0.0
+        for slot_key in self.fences:
+            if slot_key in owners:
+                self.current_gap[slot_key] = 0.0
             else:
-                self.current_gap[place] = (
-                    self.current_gap.get(place, 0.0) + STEP_S
+                self.current_gap[slot_key] = (
+                    self.current_gap.get(slot_key, 0.0) + STEP_S
+                )
+                longest = self.longest_gap.get(slot_key, 0.0)
+                self.longest_gap[slot_key] = max(
+                    longest, self.current_gap[slot_key]
                 )
-                worst = self.longest_gap.get(place, 0.0)
-                self.longest_gap[place] = max(worst, self.current_gap[place])
--- a/tests/test_bench_loads.py
+++ b/tests/test_bench_loads.py
@@ -1,52 +1,54 @@
-"""What callers get from the shipped queue and choice under load."""
+"""Checks what callers get from the shipped queue and balancer under load."""
 
 import pytest
 
 from bench import loads
 
-NAMES = {scenario.name: scenario for scenario in loads.SCENARIOS}
+SCENARIOS = {scenario.name: scenario for scenario in loads.SCENARIOS}
 DEADLINE_S = max(kind.deadline for kind in loads.KINDS)
-# Calls of requests that run already come first: nearly all must be in time.
-INNER = 0.95
-# Who is refused has half of the time left to come back in.
-TOLD_S = 0.5 * DEADLINE_S
+# Share of the calls of running requests that meet their latency objective:
+# these calls go first, so nearly all must meet it.
+MIN_INNER_SHARE = 0.95
+# A caller that is refused needs half of its deadline for another attempt.
+MAX_REFUSAL_S = 0.5 * DEADLINE_S
 
 
 def _play(name, shipped=True):
-    return loads.Play(NAMES[name], shipped, 1).run()
+    return loads.Play(SCENARIOS[name], shipped, 1).run()
 
 
-@pytest.mark.parametrize("name", NAMES)
-def test_more_callers_are_served_in_their_aim_than_before(name):
+@pytest.mark.parametrize("name", SCENARIOS)
+def test_no_fewer_callers_meet_their_objective_than_before(name):
     before = _play(name, shipped=False).served_in_aim
     assert _play(name).served_in_aim >= before
 
 
 @pytest.mark.parametrize("name", ["burst", "overload"])
 def test_calls_of_running_requests_come_first(name):
-    assert _play(name).share("inner") >= INNER
+    assert _play(name).share("inner") >= MIN_INNER_SHARE
 
 
 @pytest.mark.parametrize("name", ["burst", "overload", "one joins"])
-def test_most_refusals_are_told_at_once(name):
-    assert _play(name).held_for(0.9) <= TOLD_S
+def test_most_refusals_leave_time_for_another_attempt(name):
+    assert _play(name).held_for(0.9) <= MAX_REFUSAL_S
 
 
-def test_a_target_that_joins_gets_calls_within_seconds():
-    scenario = NAMES["one joins"]
-    started = _play("one joins").at_last
-    assert min(started) < scenario.joins + 1.0
+def test_a_target_that_joins_gets_calls_within_a_second():
+    scenario = SCENARIOS["one joins"]
+    started_at = _play("one joins").at_last
+    assert min(started_at) < scenario.joins + 1.0
 
 
-def test_targets_that_lose_a_few_answers_go_on_being_used():
-    # One call in 40 is lost whatever is chosen; there is room for all others.
+def test_targets_that_lose_a_few_answers_stay_in_use():
+    # Half of the targets lose one answer in 20, so one call in 40 fails under
+    # any policy. The targets have capacity for all others.
     assert _play("answers lost").served_in_aim >= 0.9
 
 
 @pytest.mark.parametrize(
     ("name", "served"),
-    # In all but the burst there is room for every caller.
+    # Only the burst of the second scenario exceeds the targets' capacity.
     [("many entries", 0.98), ("many entries, full", 0.93)],
 )
-def test_many_entries_do_not_send_to_the_same_idle_target(name, served):
+def test_many_daemons_do_not_all_send_to_the_same_idle_target(name, served):
     assert _play(name).served_in_aim >= served
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The documents say what the program does."""
+"""Checks that the documents match the program."""
 
 import pathlib
 import re
@@ -36,10 +36,12 @@
 def test_every_command_is_listed():
     text = pathlib.Path("docs/operators.md").read_text()
     for name, command in cmdline.cli.commands.items():
-        names = getattr(command, "commands", None)
-        full = [f"{name} {sub}" for sub in names] if names else [name]
-        for words in full:
-            assert f"| `{words} " in text
+        subcommands = getattr(command, "commands", None)
+        paths = (
+            [f"{name} {sub}" for sub in subcommands] if subcommands else [name]
+        )
+        for path in paths:
+            assert f"| `{path} " in text
 
 
 def test_every_log_event_is_listed():
@@ -50,7 +52,7 @@
             assert f"`{event}`" in text, event
 
 
-def test_the_table_of_days_is_the_journal_s():
+def test_the_table_of_days_matches_the_journal():
     note = journal.NOTE.read_text()
     assert journal.insert(note, journal.table(journal.entries())) == note
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,4 @@
-"""Targets that crash, hang, fall silent or refuse, as real processes."""
+"""Checks how real processes handle targets that crash, hang, lie or refuse."""
 
 import json
 import signal
@@ -10,24 +10,26 @@
 from demo import cluster
 from tests.support import callers, clusters
 
-POISON = b"crash-the-target"
-# The first crash, and the one trial on its own.
-MOST_CRASHES = 2
+CRASHING_BODY = b"crash-the-target"
+# The first crash, and one trial in which the request runs alone.
+MAX_CRASHES = 2
 
 
 @pytest.fixture
 def running(tmp_path):
-    found = clusters.small_cluster(tmp_path)
-    yield found
-    found.stop()
+    started = clusters.small_cluster(tmp_path)
+    yield started
+    started.stop()
 
 
-def crashes(running):
-    return sum(place.target_process.poll() == 1 for place in running.places)
+def crash_count(running):
+    return sum(vm.target_process.poll() == 1 for vm in running.places)
 
 
 @pytest.mark.parametrize("idempotent", ["true", "false"])
-def test_a_request_that_crashes_targets_is_stopped(running, idempotent):
+def test_a_request_that_crashes_targets_is_refused_after_one_trial(
+    running, idempotent
+):
     entries = [p for p in running.places if p.service == "payments"]
     replies = []
     for number in range(9):
@@ -36,7 +38,7 @@
                 entries[number % 3],
                 "POST",
                 "/v1/seats/browse?key=k",
-                POISON,
+                CRASHING_BODY,
                 X_Request_Id=f"poison-{number}",
                 X_Attempt="1",
                 X_Idempotent=idempotent,
@@ -44,40 +46,40 @@
             )
         )
     reasons = [json.loads(reply[2])["reason"] for reply in replies]
-    assert crashes(running) <= MOST_CRASHES
+    assert crash_count(running) <= MAX_CRASHES
     assert replies[0][1] == "may-have-run"
     assert replies[-1][:2] == (422, "not-run")
     assert reasons[-1] == "crashes-targets"
-    fair = callers.send_request(
+    other_reply = callers.send_request(
         entries[0], "GET", "/v1/seats/browse?key=k", X_Deadline_Ms="9000"
     )
-    assert fair[0] == 200
+    assert other_reply[0] == 200
 
 
-def test_a_request_that_stood_beside_a_crash_is_served(running):
-    place = callers.owner_of(running, "payments", "k")
+def test_requests_in_progress_when_a_target_crashes_are_served(running):
+    vm = callers.owner_of(running, "payments", "k")
     entry = next(p for p in running.places if p.service == "seats")
-    slow = "/v1/payments/roster?key=k"
+    slow_path = "/v1/payments/roster?key=k"
     host, _, port = entry.http.rpartition(":")
-    links = []
+    connections = []
     for number in range(2):
-        link = socket.create_connection((host, int(port)), timeout=30)
-        link.sendall(
-            f"GET {slow}&n={number} HTTP/1.1\r\nHost: h\r\n"
+        connection = socket.create_connection((host, int(port)), timeout=30)
+        connection.sendall(
+            f"GET {slow_path}&n={number} HTTP/1.1\r\nHost: h\r\n"
             "X-Deadline-Ms: 20000\r\n\r\n".encode()
         )
-        links.append(link)
-    place.target_process.kill()
-    place.target_process.wait()
-    for link in links:
-        assert b" 200 " in link.recv(4096).split(b"\r\n")[0]
-        link.close()
+        connections.append(connection)
+    vm.target_process.kill()
+    vm.target_process.wait()
+    for connection in connections:
+        assert b" 200 " in connection.recv(4096).split(b"\r\n")[0]
+        connection.close()
 
 
 def test_a_target_that_hangs_loses_its_slots(running):
-    place = callers.owner_of(running, "seats", "k")
+    vm = callers.owner_of(running, "seats", "k")
     entry = next(p for p in running.places if p.service == "payments")
-    place.target_process.send_signal(signal.SIGSTOP)
+    vm.target_process.send_signal(signal.SIGSTOP)
     try:
         reply = callers.send_request(
             entry, "GET", "/v1/seats/browse?key=k", X_Deadline_Ms="20000"
@@ -94,41 +96,41 @@
                 == 200
             )
         )
-        now = callers.owner_of(running, "seats", "k", entry=-1)
-        assert now is not place
+        new_owner = callers.owner_of(running, "seats", "k", entry=-1)
+        assert new_owner is not vm
     finally:
-        place.target_process.send_signal(signal.SIGCONT)
+        vm.target_process.send_signal(signal.SIGCONT)
 
 
-def test_a_target_that_lies_about_its_health_is_not_trusted(running):
-    place = callers.owner_of(running, "seats", "k")
-    lies = {"health": "dead", "load": 9999}
-    cluster.call(place.target, "POST", "/faults", lies)
+def test_a_working_target_that_reports_bad_health_keeps_its_slots(running):
+    vm = callers.owner_of(running, "seats", "k")
+    false_report = {"health": "dead", "load": 9999}
+    cluster.call(vm.target, "POST", "/faults", false_report)
     entry = running.places[-1]
     reply = callers.send_request(entry, "GET", "/v1/seats/browse?key=k")
-    assert json.loads(reply[2])["target"] == place.name
+    assert json.loads(reply[2])["target"] == vm.name
 
 
-def test_a_silent_target_that_serves_keeps_its_slots(running):
-    place = callers.owner_of(running, "seats", "k")
+def test_a_target_that_stops_announcing_but_serves_keeps_its_slots(running):
+    vm = callers.owner_of(running, "seats", "k")
     entry = running.places[-1]
-    cluster.call(place.target, "POST", "/faults", {"silent": True})
+    cluster.call(vm.target, "POST", "/faults", {"silent": True})
     for _ in range(25):
         reply = callers.send_request(entry, "GET", "/v1/seats/browse?key=k")
-        assert json.loads(reply[2])["target"] == place.name
-        place.target_process.poll()
+        assert json.loads(reply[2])["target"] == vm.name
+        vm.target_process.poll()
         time.sleep(0.12)
 
 
-def test_a_target_that_sheds_all_work_is_truthfully_refused(running):
-    for place in running.places:
-        if place.service == "payments":
-            cluster.call(place.target, "POST", "/faults", {"shed": True})
+def test_a_request_that_every_target_sheds_is_reported_as_not_run(running):
+    for vm in running.places:
+        if vm.service == "payments":
+            cluster.call(vm.target, "POST", "/faults", {"shed": True})
     reply = callers.send_request(
         running.places[0],
         "POST",
         "/v1/payments/pay?key=k",
-        # The retry budget ends it, long before the deadline.
+        # The retry budget ends the request long before this deadline.
         X_Deadline_Ms="30000",
         X_Request_Id="shed-1",
         X_Attempt="1",
@@ -138,13 +140,13 @@
     assert [run for run in running.runs() if run.request == "shed-1"] == []
 
 
-def test_a_caller_that_goes_away_cancels_its_request(running):
+def test_a_request_is_cancelled_when_its_caller_disconnects(running):
     entry = next(p for p in running.places if p.service == "seats")
     owner = callers.owner_of(running, "payments", "gone")
     cluster.call(owner.target, "POST", "/faults", {"extra_s": 2.0})
     host, _, port = entry.http.rpartition(":")
-    with socket.create_connection((host, int(port)), timeout=30) as link:
-        link.sendall(
+    with socket.create_connection((host, int(port)), timeout=30) as connection:
+        connection.sendall(
             b"POST /v1/payments/roster?key=gone HTTP/1.1\r\nHost: h\r\n"
             b"X-Request-Id: gone-1\r\nX-Attempt: 1\r\n"
             b"Content-Length: 0\r\n\r\n"
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,7 @@
-"""Real processes under load and faults, judged by the targets' logs."""
+"""Checks the history of real processes under load and faults.
+
+The targets' own logs show what took effect.
+"""
 
 import random
 import signal
@@ -12,14 +15,22 @@
 from tamarackgap.ownership import reports
 from tests.support import clusters
 
-SECONDS = 14.0
-RATE = 60.0
+LOAD_DURATION_S = 14.0
+REQUESTS_PER_S = 60.0
 PAUSE_S = 1.8
 OUTAGE_S = 3.0
 
 
-class Story:
-    """A seeded row of faults, one after the other."""
+class FaultSequence:
+    """Causes each kind of fault once, in a seeded order.
+
+    Attributes:
+        running: The cluster.
+        left: Time at which each leaving target began to leave; stays empty.
+        drained: Exit code of each daemon that was drained, by name.
+        edits: Weight that was set, by the key of the row.
+        stopping: Set to end the sequence early.
+    """
 
     def __init__(self, running, seed):
         self.running = running
@@ -31,13 +42,13 @@
 
     def run(self):
         faults = [
-            self.kill,
+            self.kill_daemon,
             self.pause_daemon,
             self.pause_target,
-            self.outage,
-            self.lost_answers,
-            self.drain,
-            self.edit,
+            self.interrupt_table,
+            self.lose_answers,
+            self.drain_daemon,
+            self.edit_policy,
         ]
         self.rng.shuffle(faults)
         for fault in faults:
@@ -45,48 +56,49 @@
                 fault()
                 time.sleep(self.rng.uniform(0.2, 0.8))
 
-    def pick(self):
+    def pick_vm(self):
         return self.rng.choice(self.running.places)
 
-    def kill(self):
-        place = self.pick()
-        place.daemon_process.send_signal(signal.SIGKILL)
-        place.daemon_process.wait()
+    def kill_daemon(self):
+        vm = self.pick_vm()
+        vm.daemon_process.send_signal(signal.SIGKILL)
+        vm.daemon_process.wait()
         time.sleep(1.0)
-        self.running.start_daemon(place)
+        self.running.start_daemon(vm)
 
     def pause_daemon(self):
-        self._pause(self.pick().daemon_process)
+        self._pause(self.pick_vm().daemon_process)
 
     def pause_target(self):
-        self._pause(self.pick().target_process)
+        self._pause(self.pick_vm().target_process)
 
     def _pause(self, process):
         process.send_signal(signal.SIGSTOP)
         time.sleep(PAUSE_S)
         process.send_signal(signal.SIGCONT)
 
-    def outage(self):
+    def interrupt_table(self):
+        # A daemon is lost during the outage, and restarts after it.
         self.running.faults(down=True)
-        place = self.pick()
-        place.daemon_process.send_signal(signal.SIGKILL)
-        place.daemon_process.wait()
+        vm = self.pick_vm()
+        vm.daemon_process.send_signal(signal.SIGKILL)
+        vm.daemon_process.wait()
         time.sleep(OUTAGE_S)
         self.running.faults(down=False)
-        self.running.start_daemon(place)
+        self.running.start_daemon(vm)
 
-    def lost_answers(self):
+    def lose_answers(self):
         self.running.faults(lose_answers=0.7)
         time.sleep(1.0)
         self.running.faults(lose_answers=0.0)
 
-    def drain(self):
-        place = self.pick()
-        place.daemon_process.send_signal(signal.SIGTERM)
-        self.drained[place.name] = place.daemon_process.wait(timeout=60)
-        self.running.start_daemon(place)
+    def drain_daemon(self):
+        vm = self.pick_vm()
+        vm.daemon_process.send_signal(signal.SIGTERM)
+        self.drained[vm.name] = vm.daemon_process.wait(timeout=60)
+        self.running.start_daemon(vm)
 
-    def edit(self):
+    def edit_policy(self):
         weight = self.rng.randrange(50, 150)
         key = "policy/seats/north"
         table = self.running.table
@@ -94,42 +106,44 @@
         self.edits[key] = weight
 
 
-def weights(running):
-    """Returns the weight in force for seats in the north, by daemon."""
-    found = {}
-    for place in running.places:
-        rows = cluster.call(place.http, "GET", "/owners?service=seats")[1]
+def weights_in_force(running):
+    """Returns the weight of seats in the north, as each daemon applies it."""
+    weights = {}
+    for vm in running.places:
+        rows = cluster.call(vm.http, "GET", "/owners?service=seats")[1]
         for row in reports.decode_owners(rows):
             if row.data_centre == "north":
-                found[place.name] = {"policy/seats/north": row.weight}
-    return found
+                weights[vm.name] = {"policy/seats/north": row.weight}
+    return weights
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_every_promise_holds_under_faults(tmp_path, seed):
     running = clusters.small_cluster(tmp_path)
-    story = Story(running, seed)
-    callers = load.Load(running, SECONDS, RATE, seed)
+    sequence = FaultSequence(running, seed)
+    callers = load.Load(running, LOAD_DURATION_S, REQUESTS_PER_S, seed)
     try:
-        faults = threading.Thread(target=story.run)
-        faults.start()
+        fault_thread = threading.Thread(target=sequence.run)
+        fault_thread.start()
         callers.run()
-        faults.join()
+        fault_thread.join()
         assert running.ready(clusters.READY_TIMEOUT_S, even=False) is not None
         evidence = judge.Evidence(
             callers.results,
             running.runs(),
-            story.left,
-            story.drained,
-            story.edits,
-            weights(running),
+            sequence.left,
+            sequence.drained,
+            sequence.edits,
+            weights_in_force(running),
         )
     finally:
-        story.stopping.set()
+        sequence.stopping.set()
         running.stop()
-    found = {name: what for name, what in judge.judge(evidence).items() if what}
-    assert found == {}
+    violations = {
+        name: found for name, found in judge.judge(evidence).items() if found
+    }
+    assert violations == {}
     answered = [r for r in callers.results if r.verdict == "answered"]
     assert len(answered) > 0.8 * len(callers.results)
-    assert story.drained
-    assert story.edits
+    assert sequence.drained
+    assert sequence.edits
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -1,4 +1,4 @@
-"""The judge finds each kind of violation: it can fail."""
+"""Checks that the judge reports each kind of violation."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from standins import target as target_lib
 
 
-def result(request="r1", verdict="answered", **changed):
+def make_result(request="r1", verdict="answered", **changed):
     values = {
         "key": "k",
         "operation": "POST pay",
@@ -22,7 +22,9 @@
     return load.Result(request, verdict=verdict, **values)
 
 
-def run(request="r1", target="pay-0", begun=1.0, at=1.1, fence=1, **changed):
+def make_run(
+    request="r1", target="pay-0", begun=1.0, at=1.1, fence=1, **changed
+):
     values = {
         "run": "x",
         "key": "k",
@@ -36,33 +38,45 @@
     )
 
 
-GOOD = judge.Evidence([result()], [run()])
+VALID = judge.Evidence([make_result()], [make_run()])
 
 
-def test_a_good_history_has_no_violations():
-    assert not any(judge.judge(GOOD).values())
+def test_a_valid_history_has_no_violations():
+    assert not any(judge.judge(VALID).values())
 
 
 CASES = [
-    ("two_owners", [run(), run("r2", "pay-1", 1.05, 1.2, 2)], {}),
-    ("fences_fall", [run(fence=2), run("r2", at=2.0, begun=1.9)], {}),
-    ("fences_fall", [run(), run("r2", "pay-1", 1.9, 2.0)], {}),
-    ("doubled", [run(), run(begun=2.0, at=2.1)], {}),
-    ("wrong_answers", [run()], {"results": [result(wrong="not whole")]}),
-    ("ran_though_not", [run()], {"results": [result(verdict="not-run")]}),
+    ("two_owners", [make_run(), make_run("r2", "pay-1", 1.05, 1.2, 2)], {}),
+    ("fences_fall", [make_run(fence=2), make_run("r2", at=2.0, begun=1.9)], {}),
+    ("fences_fall", [make_run(), make_run("r2", "pay-1", 1.9, 2.0)], {}),
+    ("doubled", [make_run(), make_run(begun=2.0, at=2.1)], {}),
+    (
+        "wrong_answers",
+        [make_run()],
+        {"results": [make_result(wrong="not whole")]},
+    ),
+    (
+        "ran_though_not",
+        [make_run()],
+        {"results": [make_result(verdict="not-run")]},
+    ),
     ("answered_unrun", [], {}),
-    ("work_after_leaving", [run(begun=9.0, at=9.1)], {"left": {"pay-0": 5.0}}),
-    ("cut_by_shutdown", [run()], {"drained": {"pay-0": None}}),
+    (
+        "work_after_leaving",
+        [make_run(begun=9.0, at=9.1)],
+        {"left": {"pay-0": 5.0}},
+    ),
+    ("cut_by_shutdown", [make_run()], {"drained": {"pay-0": None}}),
     (
         "reverted_edits",
-        [run()],
+        [make_run()],
         {"edits": {"a": 5}, "in_force": {"pay-0": {"a": 4}}},
     ),
 ]
 
 
 @pytest.mark.parametrize(("check", "runs", "changed"), CASES)
-def test_a_violation_is_found_by_its_check(check, runs, changed):
-    values = {"results": [result()], "runs": runs, **changed}
-    found = judge.judge(judge.Evidence(**values))
-    assert [name for name, what in found.items() if what] == [check]
+def test_a_violation_is_found_by_its_check_alone(check, runs, changed):
+    values = {"results": [make_result()], "runs": runs, **changed}
+    violations = judge.judge(judge.Evidence(**values))
+    assert [name for name, found in violations.items() if found] == [check]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Dependencies between packages go one way, as README's map says."""
+"""Checks that packages import only those listed before them in README."""
 
 import ast
 import pathlib
@@ -9,8 +9,8 @@
 TOP = "(top)"
 
 
-def order():
-    """Returns README's packages in their order, with their modules."""
+def package_map():
+    """Returns the modules of each package, in the order of README's table."""
     text = (ROOT / "README.md").read_text()
     rows = re.findall(r"^\| (\(top\)|`\w+/`) \|.*\| (.*) \|$", text, re.M)
     return {
@@ -19,34 +19,34 @@
     }
 
 
-def used(path):
-    """Returns the packages that a file imports."""
-    found = set()
+def imported_packages(path):
+    """Returns the packages of tamarackgap that a file imports from."""
+    packages = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module:
             parts = node.module.split(".")
             if parts[0] == "tamarackgap":
-                found.add(parts[1] if len(parts) > 1 else TOP)
-    return found
+                packages.add(parts[1] if len(parts) > 1 else TOP)
+    return packages
 
 
-def test_packages_use_only_those_before_them():
-    names = list(order())
-    for place, name in enumerate(names):
+def test_packages_import_only_those_before_them():
+    names = list(package_map())
+    for position, name in enumerate(names):
         if name == TOP:
             continue
         for path in (PACKAGE / name).glob("*.py"):
-            later = used(path) - set(names[: place + 1])
-            assert not later, f"{path.relative_to(ROOT)} uses {later}"
+            later = imported_packages(path) - set(names[: position + 1])
+            assert not later, f"{path.relative_to(ROOT)} imports {later}"
 
 
 def test_the_map_names_every_module():
-    for name, modules in order().items():
+    for name, modules in package_map().items():
         folder = PACKAGE if name == TOP else PACKAGE / name
-        there = {path.stem for path in folder.glob("*.py")}
-        assert modules == there - {"__init__", "__main__"}, name
+        files = {path.stem for path in folder.glob("*.py")}
+        assert modules == files - {"__init__", "__main__"}, name
 
 
 def test_every_package_is_on_the_map():
-    there = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
-    assert there == set(order()) - {TOP}
+    packages = {path.parent.name for path in PACKAGE.glob("*/__init__.py")}
+    assert packages == set(package_map()) - {TOP}
