--- a/bench/bare.py
+++ b/bench/bare.py
@@ -6,7 +6,7 @@
 from circuits.web import events, servers
 
 
-class Bare(circuits.Component):
+class BareHandler(circuits.Component):
     """Answers every request with two bytes."""
 
     channel = "web"
@@ -26,7 +26,7 @@
     """Serves on `ip:port` until it is killed."""
     root = circuits.Component()
     servers.BaseServer(address, display_banner=False).register(root)
-    Bare().register(root)
+    BareHandler().register(root)
     root.run()
 
 
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from bench import table
+from bench import report
 from tests.support import simulation
 
 _LEASE_S = 0.6
@@ -24,15 +24,15 @@
     """A daemon of a baseline.
 
     Attributes:
-        place: Its data centre.
-        alive: Whether it runs.
-        until: End of its lease, seconds.
+        data_centre: Its data centre.
+        up: Whether it runs.
+        lease_until: End of its lease, seconds.
         renew_at: Time of its next renewal.
     """
 
-    place: str
-    alive: bool = True
-    until: float = _LEASE_S
+    data_centre: str
+    up: bool = True
+    lease_until: float = _LEASE_S
     renew_at: float = 0.0
 
 
@@ -40,15 +40,15 @@
     """What a design costs, and what it does in a loss.
 
     Attributes:
-        writes: Table writes a second while nothing changes.
-        unserved: Longest time that a lost daemon's slots are not served;
+        writes_per_s: Table writes a second while nothing changes.
+        unserved_s: Longest time that a lost daemon's slots are not served;
             None if they are not within the time watched.
-        bystanders: Part of the other daemons that lose their leases.
+        bystander_share: Part of the other daemons that lose their leases.
     """
 
-    writes: float
-    unserved: float | None
-    bystanders: float
+    writes_per_s: float
+    unserved_s: float | None
+    bystander_share: float
 
 
 class Baseline:
@@ -68,10 +68,10 @@
     def _grantor(self, place: str) -> Member | None:
         """Returns a data centre's grantor: its first member in the table."""
         for member in self.members:
-            if member.place == place:
-                if member.alive:
+            if member.data_centre == place:
+                if member.up:
                     return member
-                if member.until > self.now or not self.table_up:
+                if member.lease_until > self.now or not self.table_up:
                     # Nobody else is elected while it is down.
                     return None
         return None
@@ -82,24 +82,24 @@
         while self.now < end:
             self.now += _STEP_S
             for member in self.members:
-                if member.alive and self.now >= member.renew_at:
+                if member.up and self.now >= member.renew_at:
                     member.renew_at = self.now + _RENEW_S
                     self._renew(member)
 
     def _renew(self, member: Member) -> None:
-        if not self._grantors or self._grantor(member.place) is member:
+        if not self._grantors or self._grantor(member.data_centre) is member:
             if self.table_up:
                 self.writes += 1
-                member.until = self.now + _LEASE_S
+                member.lease_until = self.now + _LEASE_S
             return
-        grantor = self._grantor(member.place)
-        if grantor is not None and grantor.until > self.now:
-            member.until = min(self.now + _LEASE_S, grantor.until)
+        grantor = self._grantor(member.data_centre)
+        if grantor is not None and grantor.lease_until > self.now:
+            member.lease_until = min(self.now + _LEASE_S, grantor.lease_until)
 
-    def expired(self) -> float:
+    def share_without_lease(self) -> float:
         """Returns the part of the living members without a lease."""
-        alive = [member for member in self.members if member.alive]
-        lost = [member for member in alive if member.until <= self.now]
+        alive = [member for member in self.members if member.up]
+        lost = [member for member in alive if member.lease_until <= self.now]
         return len(lost) / len(alive)
 
 
@@ -111,12 +111,12 @@
     steady = (design.writes - writes) / _STEADY_S
     victim = design.members[0]
     design.table_up = table_up
-    victim.alive = False
+    victim.up = False
     lost_at = design.now
     design.run(_WATCH_S)
     # Somebody else can only take the slots by a write to the table.
-    unserved = victim.until - lost_at if table_up else None
-    return Outcome(steady, unserved, design.expired())
+    unserved = victim.lease_until - lost_at if table_up else None
+    return Outcome(steady, unserved, design.share_without_lease())
 
 
 def _ours(table_up: bool) -> Outcome:
@@ -160,17 +160,19 @@
                 4 / len(_PLACES),
             ),
         ):
-            unserved = outcome.unserved
+            unserved = outcome.unserved_s
             rows.append(
                 {
                     "design": name,
                     "table": "up" if table_up else "down",
-                    "writes_per_s": round(outcome.writes, 1),
-                    "at_1800_daemons": round(outcome.writes * growth),
+                    "writes_per_s": round(outcome.writes_per_s, 1),
+                    "at_1800_daemons": round(outcome.writes_per_s * growth),
                     "unserved_s": (
                         "all of it" if unserved is None else round(unserved, 2)
                     ),
-                    "bystanders_without_lease": round(outcome.bystanders, 2),
+                    "bystanders_without_lease": round(
+                        outcome.bystander_share, 2
+                    ),
                 }
             )
-    table.show("baselines", rows)
+    report.show("baselines", rows)
--- a/bench/datapath.py
+++ b/bench/datapath.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Iterator
 
-from bench import process, recovery, table
+from bench import process, recovery, report
 from demo import cluster, deployments
 from standins import platformcluster
 
@@ -73,8 +73,8 @@
     callers: int,
     seconds: float,
     headers: dict[str, str] = _HEADERS,
-) -> table.Row:
-    before = sum(map(process.seconds, pids))
+) -> report.Row:
+    before = sum(map(process.cpu_seconds, pids))
     latencies: list[float] = []
     threads = [
         threading.Thread(
@@ -86,20 +86,20 @@
         thread.start()
     for thread in threads:
         thread.join()
-    used = sum(map(process.seconds, pids)) - before
+    used = sum(map(process.cpu_seconds, pids)) - before
     return {
         "path": name,
         "callers": callers,
         "requests_per_s": round(len(latencies) / seconds),
-        "p50_ms": round(table.percentile(latencies, 0.5) * 1000, 2),
-        "p99_ms": round(table.percentile(latencies, 0.99) * 1000, 2),
+        "p50_ms": round(report.percentile(latencies, 0.5) * 1000, 2),
+        "p99_ms": round(report.percentile(latencies, 0.99) * 1000, 2),
         "core_us_a_request": round(used / len(latencies) * 1e6),
         "requests_a_core_s": round(len(latencies) / max(used, 1e-9)),
     }
 
 
-def _lateness(place: cluster.Place) -> float:
-    text = cluster.call(place.http, "GET", "/metrics")[1].decode()
+def _lateness(place: cluster.VM) -> float:
+    text = cluster.call(place.http_address, "GET", "/metrics")[1].decode()
     line = next(
         line
         for line in text.splitlines()
@@ -134,12 +134,12 @@
             rows = _router_paths(found, bare, seconds)
         finally:
             found.stop()
-    table.show("routerpath", rows)
+    report.show("routerpath", rows)
 
 
 def _router_paths(
     found: platformcluster.PlatformCluster, bare: int, seconds: float
-) -> list[table.Row]:
+) -> list[report.Row]:
     entry, owner = found.nodes
     owner.server.work_s = 0.0
     path = "/browse/x"
@@ -191,18 +191,18 @@
     seconds = 2.0 if quick else 8.0
     with (
         _bare_handler() as bare,
-        cluster.deployed(_PLAN, _BASE_PORT, work_ms=0.0) as running,
+        cluster.run_deployment(_PLAN, _BASE_PORT, work_ms=0.0) as running,
     ):
         rows = _paths(running, bare, seconds)
-    table.show("datapath", rows)
+    report.show("datapath", rows)
 
 
 def _paths(
     running: cluster.Cluster, bare: int, seconds: float
-) -> list[table.Row]:
-    entry = running.place("other-0")
-    owner = running.place("seats-0")
-    key = recovery.key_of(running, entry, owner)
+) -> list[report.Row]:
+    entry = running.vm("other-0")
+    owner = running.vm("seats-0")
+    key = recovery.find_owned_key(running, entry, owner)
     path = f"/v1/seats/x?key={key}"
     own = owner.daemon_process.pid
     both = [entry.daemon_process.pid, own]
@@ -212,11 +212,23 @@
         rows += [
             _measure("bare handler", _BARE, "/", [bare], callers, seconds),
             _measure(
-                "target, direct", owner.target, "/x", [target], callers, seconds
+                "target, direct",
+                owner.target_address,
+                "/x",
+                [target],
+                callers,
+                seconds,
+            ),
+            _measure(
+                "owner asked", owner.http_address, path, [own], callers, seconds
             ),
-            _measure("owner asked", owner.http, path, [own], callers, seconds),
             _measure(
-                "entry, then owner", entry.http, path, both, callers, seconds
+                "entry, then owner",
+                entry.http_address,
+                path,
+                both,
+                callers,
+                seconds,
             ),
         ]
     for row in rows:
--- a/bench/journal.py
+++ b/bench/journal.py
@@ -39,7 +39,7 @@
     parts: list[tuple[str, float, float]] = []
 
     @property
-    def binds(self) -> str:
+    def largest_losses(self) -> str:
         """The part that loses most, and the highest price."""
         if not self.parts or not self.prices:
             return ""
@@ -75,7 +75,7 @@
         return pathlib.PurePath(self.argv[0]).stem if self.argv else ""
 
 
-def entries(folder: pathlib.Path = JOURNAL) -> list[Entry]:
+def load_entries(folder: pathlib.Path = JOURNAL) -> list[Entry]:
     """Returns the journal's entries, the oldest first.
 
     Raises:
@@ -88,7 +88,7 @@
     return sorted(found, key=lambda entry: (entry.at, entry.id))
 
 
-def table(found: list[Entry]) -> str:
+def render_table(found: list[Entry]) -> str:
     """Returns the table of the last whole score of each site, and all hunts."""
     lines = [
         "| site | run | day | score | worth | served | broken | what binds |",
@@ -124,11 +124,11 @@
     served = "" if day.served is None else f"{day.served:.3f}"
     return (
         f"| {site} |  | {day.name} | {score} | {worth} | {served} "
-        f"| {rules} | {day.binds} |"
+        f"| {rules} | {day.largest_losses} |"
     )
 
 
-def insert(text: str, rows: str) -> str:
+def insert_table(text: str, rows: str) -> str:
     """Returns a note with its table replaced.
 
     Raises:
@@ -144,7 +144,9 @@
 
 def main() -> None:
     """Writes the table into the design note."""
-    NOTE.write_text(insert(NOTE.read_text(), table(entries())))
+    NOTE.write_text(
+        insert_table(NOTE.read_text(), render_table(load_entries()))
+    )
 
 
 if __name__ == "__main__":
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from bench import table
+from bench import report
 from tamarackgap.traffic import admission, balancer
 
 _SECONDS = 20.0
@@ -30,7 +30,7 @@
 _LOST_SHARE = 0.05
 
 
-class Kind(msgspec.Struct, frozen=True):
+class CallKind(msgspec.Struct, frozen=True):
     """A kind of call: rank, latency objective, deadline and work, seconds."""
 
     name: str
@@ -41,9 +41,9 @@
 
 
 KINDS = (
-    Kind("inner", 0, 0.2, 0.8, 0.04),
-    Kind("pay", 1, 0.4, 1.2, 0.08),
-    Kind("browse", 2, 0.4, 1.2, 0.08),
+    CallKind("inner", 0, 0.2, 0.8, 0.04),
+    CallKind("pay", 1, 0.4, 1.2, 0.08),
+    CallKind("browse", 2, 0.4, 1.2, 0.08),
 )
 
 
@@ -53,26 +53,26 @@
     Attributes:
         name: Its name.
         load: Calls against what all targets can run.
-        burst: The same, between 6 and 10 s.
-        speeds: How much longer each target takes than usual.
-        joins: When the last target joins, seconds; 0 for from the start.
-        lossy: How many of the targets lose one answer in 20.
-        entries: How many daemons send calls, each by what it knows itself:
+        burst_load: The same, between 6 and 10 s.
+        slowdowns: How much longer each target takes than usual.
+        last_joins_at: When the last target joins, seconds; 0 is at the start.
+        lossy_targets: How many of the targets lose one answer in 20.
+        entry_count: How many daemons send calls, each by what it knows itself:
             answers tell it of a target's load as well, it tries a second
             target, and targets tell of theirs at different times.
         slots: Calls that a target runs at once.
-        told_s: How often a target's load is told to all entries, seconds.
+        report_interval_s: Time between load reports of a target, seconds.
     """
 
     name: str
     load: float
-    burst: float
-    speeds: tuple[float, ...]
-    joins: float = 0.0
-    lossy: int = 0
-    entries: int = 1
+    burst_load: float
+    slowdowns: tuple[float, ...]
+    last_joins_at: float = 0.0
+    lossy_targets: int = 0
+    entry_count: int = 1
     slots: int = _SLOTS
-    told_s: float = _STATUS_S
+    report_interval_s: float = _STATUS_S
 
 
 _DATA_CENTRES = ("a", "b", "c")
@@ -85,8 +85,8 @@
     Scenario("slow target", 0.7, 0.7, (1, 1, 1, 4)),
     Scenario("unlike targets, burst", 0.7, 1.5, (0.7, 1, 1.4, 3)),
     Scenario("one joins", 0.9, 0.9, (1, 1, 1, 1), 8.0),
-    Scenario("answers lost", 0.85, 0.85, (1, 1, 1, 1), lossy=2),
-    Scenario("twelve entries", 0.7, 0.9, (0.7, 1, 1, 2), entries=12),
+    Scenario("answers lost", 0.85, 0.85, (1, 1, 1, 1), lossy_targets=2),
+    Scenario("twelve entries", 0.7, 0.9, (0.7, 1, 1, 2), entry_count=12),
     Scenario(
         "many entries", 0.5, 0.8, _MIXED_SPEEDS, 0, 0, 75, 5, _RARE_STATUS_S
     ),
@@ -104,45 +104,47 @@
 )
 
 
-class Tally(msgspec.Struct):
+class CallerStats(msgspec.Struct):
     """What callers got.
 
     Attributes:
-        asked: Callers, by kind.
-        in_aim: Answers within their latency objective, by kind.
+        callers: Callers, by kind.
+        in_objective: Answers within their latency objective, by kind.
         late: Later answers.
         refused: Callers that were refused for good or got nothing.
-        held: Seconds from coming to being refused, of each refusal.
-        at_last: Calls started at the last target.
+        refusal_delays_s: Time from arrival to each refusal, seconds.
+        last_target_starts: Calls started at the last target.
     """
 
-    asked: collections.Counter = msgspec.field(
+    callers: collections.Counter = msgspec.field(
         default_factory=collections.Counter
     )
-    in_aim: collections.Counter = msgspec.field(
+    in_objective: collections.Counter = msgspec.field(
         default_factory=collections.Counter
     )
     late: int = 0
     refused: int = 0
-    held: list[float] = []
-    at_last: list[float] = []
+    refusal_delays_s: list[float] = []
+    last_target_starts: list[float] = []
 
     @property
-    def served_in_aim(self) -> float:
+    def share_in_objective(self) -> float:
         """Share of the callers answered within their objective."""
-        return sum(self.in_aim.values()) / max(1, sum(self.asked.values()))
+        return sum(self.in_objective.values()) / max(
+            1, sum(self.callers.values())
+        )
 
     def share(self, name: str) -> float:
         """Share of a kind's callers answered within their objective."""
-        return self.in_aim[name] / max(1, self.asked[name])
+        return self.in_objective[name] / max(1, self.callers[name])
 
-    def held_for(self, part: float) -> float:
+    def refusal_delay(self, share: float) -> float:
         """Time after which a part of all refusals had been told, seconds."""
-        held = sorted(self.held)
-        return held[int(len(held) * part)] if held else 0.0
+        held = sorted(self.refusal_delays_s)
+        return held[int(len(held) * share)] if held else 0.0
 
 
-class FirstCome:
+class FifoQueue:
     """The earlier queue: in order of arrival, kept until the deadline."""
 
     def __init__(self) -> None:
@@ -194,16 +196,16 @@
         self.name = name
 
 
-class Play:
+class Simulation:
     """One scenario under one policy."""
 
     def __init__(self, scenario: Scenario, shipped: bool, seed: int) -> None:
         """Prepares the targets."""
-        self.tally = Tally()
+        self.tally = CallerStats()
         self._scenario = scenario
         self._shipped = shipped
         self._rng = random.Random(seed)
-        self._many = scenario.entries > 1
+        self._many = scenario.entry_count > 1
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -215,7 +217,7 @@
                 self._queue(),
                 speed,
             )
-            for index, speed in enumerate(scenario.speeds)
+            for index, speed in enumerate(scenario.slowdowns)
         ]
         # What each entry knows of each target, by the target's name.
         self._told = [
@@ -228,7 +230,7 @@
                 )
                 for target in self._targets
             }
-            for _ in range(scenario.entries)
+            for _ in range(scenario.entry_count)
         ]
         self._near = {
             id(known): _DATA_CENTRES[index % len(_DATA_CENTRES)]
@@ -237,11 +239,11 @@
             for index, known in enumerate(self._told)
         }
 
-    def run(self) -> Tally:
+    def run(self) -> CallerStats:
         """Plays it; returns what callers got."""
         for target in self._targets:
             self._tell(target)
-            shift = self._scenario.told_s
+            shift = self._scenario.report_interval_s
             if self._many:
                 shift *= self._rng.random()
             self._at(shift, functools.partial(self._tell_again, target))
@@ -254,7 +256,7 @@
 
     def _queue(self) -> object:
         if not self._shipped:
-            return FirstCome()
+            return FifoQueue()
         queue = admission.AdmissionQueue()
         queue.resize(self._scenario.slots, 0.0)
         return queue
@@ -264,7 +266,7 @@
 
     def _present(self) -> list[_Target]:
         scenario = self._scenario
-        if scenario.joins and self._now < scenario.joins:
+        if scenario.last_joins_at and self._now < scenario.last_joins_at:
             return self._targets[:-1]
         return self._targets
 
@@ -272,24 +274,24 @@
         if self._now >= _SECONDS:
             return
         burst = 6 <= self._now < 10
-        load = self._scenario.burst if burst else self._scenario.load
+        load = self._scenario.burst_load if burst else self._scenario.load
         work = sum(kind.work for kind in KINDS) / len(KINDS)
         capacity = sum(
-            self._scenario.slots / speed for speed in self._scenario.speeds
+            self._scenario.slots / speed for speed in self._scenario.slowdowns
         )
         rate = load * capacity / work
         self._at(self._now + self._rng.expovariate(rate), self._arrive)
         kind = self._rng.choice(KINDS)
-        self.tally.asked[kind.name] += 1
+        self.tally.callers[kind.name] += 1
         self._ask(kind, self._now, _RETURNS)
 
-    def _ask(self, kind: Kind, first: float, returns: int) -> None:
+    def _ask(self, kind: CallKind, first: float, returns: int) -> None:
         known = self._rng.choice(self._told) if self._many else self._told[0]
         self._try(kind, first, self._now, returns, known, frozenset())
 
     def _try(
         self,
-        kind: Kind,
+        kind: CallKind,
         first: float,
         came: float,
         returns: int,
@@ -302,13 +304,13 @@
 
         def start() -> None:
             if target is self._targets[-1]:
-                self.tally.at_last.append(self._now)
+                self.tally.last_target_starts.append(self._now)
             work = kind.work * target.speed * self._rng.uniform(0.6, 1.4)
             self._at(self._now + work, lambda: done(work))
 
         def done(work: float) -> None:
             target.queue.finish(work, kind.latency_objective, self._now)
-            lossy = target in self._targets[: self._scenario.lossy]
+            lossy = target in self._targets[: self._scenario.lossy_targets]
             if lossy and self._rng.random() < _LOST_SHARE:
                 told.record_failure(self._now)
                 self.tally.refused += 1
@@ -318,7 +320,7 @@
                 self._learn(told, target)
             taken = self._now - first
             if taken <= kind.latency_objective:
-                self.tally.in_aim[kind.name] += 1
+                self.tally.in_objective[kind.name] += 1
             elif self._now <= came + kind.deadline:
                 self.tally.late += 1
             else:
@@ -331,7 +333,7 @@
             if self._many and self._shipped and len(seen) < _TRIES:
                 self._try(kind, first, came, returns, known, seen)
                 return
-            self.tally.held.append(self._now - came)
+            self.tally.refusal_delays_s.append(self._now - came)
             if returns:
                 again = self._now + max(0.05, refusal.retry_after)
                 self._at(again, lambda: self._ask(kind, first, returns - 1))
@@ -384,7 +386,7 @@
             self._tell(target)
         if self._now < _SECONDS + 3:
             again = functools.partial(self._tell_again, target)
-            self._at(self._now + self._scenario.told_s, again)
+            self._at(self._now + self._scenario.report_interval_s, again)
 
     def _sweep(self) -> None:
         for target in self._targets:
@@ -398,18 +400,18 @@
     rows = []
     for scenario in SCENARIOS:
         for seed in range(1 if quick else 5):
-            old = Play(scenario, False, seed).run()
-            new = Play(scenario, True, seed).run()
+            old = Simulation(scenario, False, seed).run()
+            new = Simulation(scenario, True, seed).run()
             rows.append(
                 {
                     "scenario": scenario.name,
                     "seed": seed,
-                    "in_aim_before": round(old.served_in_aim, 3),
-                    "in_aim": round(new.served_in_aim, 3),
+                    "in_aim_before": round(old.share_in_objective, 3),
+                    "in_aim": round(new.share_in_objective, 3),
                     "inner_before": round(old.share("inner"), 3),
                     "inner": round(new.share("inner"), 3),
-                    "told_s_before": round(old.held_for(0.9), 3),
-                    "told_s": round(new.held_for(0.9), 3),
+                    "told_s_before": round(old.refusal_delay(0.9), 3),
+                    "told_s": round(new.refusal_delay(0.9), 3),
                 }
             )
-    table.show("loads", rows)
+    report.show("loads", rows)
--- a/bench/logcost.py
+++ b/bench/logcost.py
@@ -6,7 +6,7 @@
 
 import eliot
 
-from bench import table
+from bench import report
 from tamarackgap import logs
 
 _LINES = 20_000
@@ -38,7 +38,7 @@
     bound = logs.RateLimiter(0)
     left_out = _each(count, lambda: bound.admit(0.0))
     os.close(sink)
-    table.show(
+    report.show(
         "logcost",
         [
             {
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -4,7 +4,7 @@
 import threading
 import time
 
-from bench import recovery, table
+from bench import recovery, report
 from demo import cluster, deployments
 from tamarackgap.commands import control
 
@@ -15,12 +15,12 @@
 
 
 def _probe(
-    place: cluster.Place,
+    place: cluster.VM,
     path: str,
     stop: threading.Event,
     times: list[float],
 ) -> None:
-    host, _, port = place.http.rpartition(":")
+    host, _, port = place.http_address.rpartition(":")
     link = http.client.HTTPConnection(host, int(port), timeout=10)
     while not stop.is_set():
         begun = time.monotonic()
@@ -29,12 +29,10 @@
         times.append(time.monotonic() - begun)
 
 
-def _move(
-    running: cluster.Cluster, weight: int, victim: cluster.Place
-) -> float:
+def _move(running: cluster.Cluster, weight: int, victim: cluster.VM) -> float:
     """Edits a weight while one key is asked for; returns the longest wait."""
-    entry = next(p for p in running.places if p.service != victim.service)
-    key = recovery.key_of(running, entry, victim)
+    entry = next(p for p in running.vms if p.service != victim.service)
+    key = recovery.find_owned_key(running, entry, victim)
     path = f"/v1/{victim.service}/browse?key={key}"
     times: list[float] = []
     stop = threading.Event()
@@ -44,7 +42,9 @@
     probe.start()
     time.sleep(0.5)
     row = f"policy/{victim.service}/{victim.data_centre}"
-    control.set_policy(running.table, row, {"weight": weight}, "bench", None)
+    control.set_policy(
+        running.table_address, row, {"weight": weight}, "bench", None
+    )
     time.sleep(_WATCH_S)
     stop.set()
     probe.join()
@@ -54,9 +54,9 @@
 def run(quick: bool) -> None:
     """Empties a data centre of a service and fills it again, in turns."""
     rows = []
-    with cluster.deployed(deployments.ASSOCIATION, _BASE_PORT) as running:
+    with cluster.run_deployment(deployments.ASSOCIATION, _BASE_PORT) as running:
         for number in range(2 if quick else 8):
-            victim = running.place(f"payments-{number % 3}")
+            victim = running.vm(f"payments-{number % 3}")
             longest = _move(running, 0, victim)
             rows.append(
                 {
@@ -67,7 +67,7 @@
             )
             row = f"policy/{victim.service}/{victim.data_centre}"
             control.set_policy(
-                running.table, row, {"weight": 100}, "bench", None
+                running.table_address, row, {"weight": 100}, "bench", None
             )
-            running.ready(_READY_S)
-    table.show("moves", rows)
+            running.wait_until_ready(_READY_S)
+    report.show("moves", rows)
--- a/bench/pauses.py
+++ b/bench/pauses.py
@@ -4,7 +4,7 @@
 import signal
 import time
 
-from bench import table
+from bench import report
 from demo import cluster, deployments
 
 _BASE_PORT = 28500
@@ -14,7 +14,7 @@
 _LEASE_MS = 600
 
 
-def _pause(running: cluster.Cluster, place: cluster.Place, ms: int) -> bool:
+def _pause(running: cluster.Cluster, place: cluster.VM, ms: int) -> bool:
     """Pauses a daemon; returns whether its slots were taken over."""
     before = len(running.log_lines("taken_over"))
     place.daemon_process.send_signal(signal.SIGSTOP)
@@ -29,12 +29,12 @@
     times = 2 if quick else 6
     rng = random.Random(5)
     rows = []
-    with cluster.deployed(deployments.ASSOCIATION, _BASE_PORT) as running:
+    with cluster.run_deployment(deployments.ASSOCIATION, _BASE_PORT) as running:
         for ms in _PAUSES_MS:
             taken = 0
             for _ in range(times):
-                taken += _pause(running, rng.choice(running.places), ms)
-                running.ready(_READY_S, even=False)
+                taken += _pause(running, rng.choice(running.vms), ms)
+                running.wait_until_ready(_READY_S, balanced=False)
             rows.append(
                 {
                     "pause_ms": ms,
@@ -43,4 +43,4 @@
                     "taken_over": taken,
                 }
             )
-    table.show("pauses", rows)
+    report.show("pauses", rows)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -26,13 +26,13 @@
         name: Its name.
         data_centre: Where it stands.
         weight: Its weight in the operators' table.
-        alive: Whether it serves.
+        up: Whether it serves.
     """
 
     name: str
     data_centre: str
     weight: int = 100
-    alive: bool = True
+    up: bool = True
 
 
 def _hash(*parts: object) -> int:
@@ -40,15 +40,15 @@
 
 
 def _usable(servers: list[Server]) -> list[Server]:
-    return [server for server in servers if server.alive and server.weight]
+    return [server for server in servers if server.up and server.weight]
 
 
 class Policy:
     """What all policies share: keys to server names."""
 
     name = "?"
-    remembers = False
-    retries_blindly = True
+    remembers_crashes = False
+    resends_unsafely = True
 
     def __init__(self, seed: int) -> None:
         """Creates a policy that has placed nothing."""
@@ -61,7 +61,7 @@
     def step(self, servers: list[Server], now: float) -> None:
         """Does what is due in this second."""
 
-    def served(self, key: str, server: str, now: float) -> None:
+    def record_request(self, key: str, server: str, now: float) -> None:
         """Notes a request."""
 
 
@@ -141,12 +141,12 @@
         return self.rng.choice(_usable(servers)).name
 
 
-class Ours(Policy):
+class Tamarackgap(Policy):
     """Slots, owners' own plans, successors: the functions that ship."""
 
     name = "tamarackgap"
-    remembers = True
-    retries_blindly = False
+    remembers_crashes = True
+    resends_unsafely = False
 
     def __init__(self, seed: int) -> None:
         """Creates a service whose slots are not given out yet."""
@@ -156,7 +156,7 @@
         self._changed: dict[str, float] = {}
         self._meters: dict[str, loadstats.SlotMeter] = {}
         self._told: dict[str, loads.Loads] = {}
-        self.moved = 0
+        self.moved_slots = 0
 
     def slot(self, key: str) -> int:
         """Returns a key's slot."""
@@ -166,13 +166,13 @@
         """Returns the slot's owner."""
         return self.owner[self.slot(key)]
 
-    def served(self, key: str, server: str, now: float) -> None:
+    def record_request(self, key: str, server: str, now: float) -> None:
         """Meters a request at its owner."""
         self._meters[server].count(self.slot(key), now)
 
     def step(self, servers: list[Server], now: float) -> None:
         """Takes lost slots over, tells loads, and lets each owner plan."""
-        usable = [server for server in servers if server.alive]
+        usable = [server for server in servers if server.up]
         for server in usable:
             self._meters.setdefault(server.name, loadstats.SlotMeter(now))
             self._told.setdefault(server.name, loads.Loads())
@@ -204,7 +204,7 @@
             )
             counts[heir] += 1
             self._give(slot, heir, now)
-            self.moved += 1
+            self.moved_slots += 1
 
     def _rates(self, name: str, now: float) -> dict[int, float]:
         since = {s: self._since[s] for s, o in self.owner.items() if o == name}
@@ -240,7 +240,7 @@
         for move in placement.plan_moves(SLOTS, members, rates)[:64]:
             if move.source == server.name:
                 self._give(move.slot, move.destination, now)
-                self.moved += 1
+                self.moved_slots += 1
 
 
-ALL = (Ours, Modulo, Rendezvous, BoundedRing, RandomRetry)
+ALL = (Tamarackgap, Modulo, Rendezvous, BoundedRing, RandomRetry)
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -11,7 +11,7 @@
 import msgspec
 from matplotlib import pyplot
 
-from bench import policies, table, traffic
+from bench import policies, report, traffic
 
 matplotlib.use("Agg")
 
@@ -48,7 +48,7 @@
 )
 
 
-class Tally(msgspec.Struct):
+class RunStats(msgspec.Struct):
     """What is counted in one run."""
 
     latencies: list[float] = []
@@ -62,7 +62,7 @@
     crashed: int = 0
 
 
-class Run:
+class Simulation:
     """One policy in one scenario."""
 
     def __init__(
@@ -76,8 +76,8 @@
             policies.Server(f"s{index}", "abc"[index % 3])
             for index in range(12)
         ]
-        self.keys = traffic.Zipf(self.rng, _KEYS, 0.9)
-        self.tally = Tally(latencies=[], per_second=[])
+        self.keys = traffic.ZipfKeys(self.rng, _KEYS, 0.9)
+        self.tally = RunStats(latencies=[], per_second=[])
         self._free = {s.name: [0.0] * _SLOTS_A_SERVER for s in self.servers}
         self._placed: dict[str, str] = {}
         self._blocked: dict[str, float] = {}
@@ -87,7 +87,7 @@
         self._convicted = False
         self._moved_before = 0
 
-    def run(self) -> Tally:
+    def run(self) -> RunStats:
         """Runs all seconds."""
         number = 0
         for now in range(_SECONDS):
@@ -95,10 +95,12 @@
             self._restore(now)
             self.policy.step(self.servers, float(now))
             if now == _EVENT_AT + 4:
-                moved = getattr(self.policy, "moved", 0)
+                moved = getattr(self.policy, "moved_slots", 0)
                 self.tally.moved_at_event = moved - self._moved_before
             self.tally.per_second.append({})
-            requests = traffic.second(self.rng, self.keys, now, _RATE, number)
+            requests = traffic.requests_of_second(
+                self.rng, self.keys, now, _RATE, number
+            )
             number += len(requests)
             for request in requests:
                 self._serve(request)
@@ -109,11 +111,11 @@
     def _event(self, now: int) -> None:
         event = self.scenario.event
         if now == _EVENT_AT:
-            self._moved_before = getattr(self.policy, "moved", 0)
+            self._moved_before = getattr(self.policy, "moved_slots", 0)
             if "flash" in event:
-                self.keys.flash("k7", 0.12)
+                self.keys.set_hot_key("k7", 0.12)
             if event == "shift":
-                self.keys.shuffle(48)
+                self.keys.change_hottest(48)
             if "loss" in event:
                 self._lose("s4", now, 40)
             if event == "centre":
@@ -131,7 +133,7 @@
 
     def _lose(self, name: str, now: float, seconds: float) -> None:
         server = next(s for s in self.servers if s.name == name)
-        server.alive = False
+        server.up = False
         if now == _EVENT_AT:
             owners = getattr(self.policy, "owner", {}).values()
             self.tally.lost_slots += sum(owner == name for owner in owners)
@@ -140,12 +142,12 @@
 
     def _restore(self, now: int) -> None:
         for server in self.servers:
-            if not server.alive and now >= self._down_until[server.name]:
-                server.alive = True
+            if not server.up and now >= self._down_until[server.name]:
+                server.up = True
                 self._free[server.name] = [float(now)] * _SLOTS_A_SERVER
 
     def _anybody(self) -> bool:
-        return any(server.alive and server.weight for server in self.servers)
+        return any(server.up and server.weight for server in self.servers)
 
     def _serve(self, request: traffic.Request) -> None:
         if not self._anybody():
@@ -154,14 +156,14 @@
         name = self.policy.place(request.key, self.servers)
         wait = self._changed(request, name)
         free = self._free[name]
-        begins = max(request.at + wait, free[0])
+        begins = max(request.sent_at + wait, free[0])
         ends = begins + request.service_s
-        if ends - request.at > _DEADLINE_S:
+        if ends - request.sent_at > _DEADLINE_S:
             self.tally.refused += 1
             return
         heapq.heapreplace(free, ends)
-        self.policy.served(request.key, name, request.at)
-        self.tally.latencies.append(ends - request.at)
+        self.policy.record_request(request.key, name, request.sent_at)
+        self.tally.latencies.append(ends - request.sent_at)
         second = self.tally.per_second[-1]
         second[name] = second.get(name, 0) + 1
 
@@ -170,16 +172,16 @@
         before = self._placed.get(request.key)
         self._placed[request.key] = name
         if before is not None and before != name:
-            lost = request.at - self._lost_at.get(before, -99.0) < 1.0
+            lost = request.sent_at - self._lost_at.get(before, -99.0) < 1.0
             gap = _LOSS_S if lost else _MOVE_S
             self.tally.moved_keys += 1
             self.tally.unserved_s += gap
-            self._blocked[request.key] = request.at + gap
-            if lost and not request.safe and self.policy.retries_blindly:
+            self._blocked[request.key] = request.sent_at + gap
+            if lost and not request.idempotent and self.policy.resends_unsafely:
                 # It was in progress when its server was lost, in the share
                 # of time that servers are busy: the resend runs it again.
                 self.tally.doubled += self.rng.random() < 0.1
-        return max(0.0, self._blocked.get(request.key, 0.0) - request.at)
+        return max(0.0, self._blocked.get(request.key, 0.0) - request.sent_at)
 
     def _poison(self, now: int) -> None:
         """A caller sends a request that crashes servers, again and again."""
@@ -190,13 +192,13 @@
             self._lose(name, now, 5)
             self.tally.crashed += 1
             # Suspected after the first crash, convicted by the second.
-            if self.policy.remembers and self.tally.crashed >= 2:
+            if self.policy.remembers_crashes and self.tally.crashed >= 2:
                 self._convicted = True
             self.policy.step(self.servers, float(now))
 
 
 def _imbalance(
-    tally: Tally, servers: list[policies.Server], begin: int
+    tally: RunStats, servers: list[policies.Server], begin: int
 ) -> float:
     """Returns the greatest load per weight over the mean, late in the run."""
     totals = {server.name: 0 for server in servers}
@@ -209,8 +211,8 @@
 
 def _row(
     make: type[policies.Policy], scenario: Scenario, seed: int
-) -> table.Row:
-    running = Run(make, scenario, seed)
+) -> report.Row:
+    running = Simulation(make, scenario, seed)
     tally = running.run()
     return {
         "scenario": scenario.name,
@@ -219,11 +221,11 @@
             _imbalance(tally, running.servers, _SECONDS - 20), 3
         ),
         "keys_moved": tally.moved_keys,
-        "slots_moved": getattr(running.policy, "moved", ""),
+        "slots_moved": getattr(running.policy, "moved_slots", ""),
         "in_4_s": tally.moved_at_event or "",
         "lost_slots": tally.lost_slots or "",
         "unserved_key_s": round(tally.unserved_s, 1),
-        "p99_ms": round(table.percentile(tally.latencies, 0.99) * 1000, 1),
+        "p99_ms": round(report.percentile(tally.latencies, 0.99) * 1000, 1),
         "refused": tally.refused,
         "doubled": tally.doubled,
         "crashed": tally.crashed,
@@ -236,12 +238,12 @@
     rows = [
         _row(make, scenario, 7) for scenario in chosen for make in policies.ALL
     ]
-    table.show("policy", rows)
+    report.show("policy", rows)
     if not quick:
         _plot(rows)
 
 
-def _plot(rows: list[table.Row]) -> None:
+def _plot(rows: list[report.Row]) -> None:
     figure, axes = pyplot.subplots(3, 1, figsize=(11, 11), sharex=True)
     names = [scenario.name for scenario in SCENARIOS]
     width = 0.8 / len(policies.ALL)
@@ -258,4 +260,4 @@
     axes[0].legend(fontsize=8)
     axes[-1].set_xticks(range(len(names)), names, rotation=30, ha="right")
     figure.tight_layout()
-    figure.savefig(table.RESULTS / "policy.png", dpi=80)
+    figure.savefig(report.RESULTS / "policy.png", dpi=80)
--- a/bench/process.py
+++ b/bench/process.py
@@ -7,7 +7,7 @@
 _TICKS = os.sysconf("SC_CLK_TCK")
 
 
-def seconds(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Returns the processor time of a process so far, seconds."""
     text = pathlib.Path(f"/proc/{pid}/stat").read_text()
     fields = text.rpartition(")")[2].split()
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -5,7 +5,7 @@
 import signal
 import time
 
-from bench import table
+from bench import report
 from demo import cluster, deployments
 
 _PROBE_PAUSE_S = 0.005
@@ -15,8 +15,8 @@
 _TARGET_MS = 1000.0
 
 
-def _answered(place: cluster.Place, path: str) -> bool:
-    host, _, port = place.http.rpartition(":")
+def _answered(place: cluster.VM, path: str) -> bool:
+    host, _, port = place.http_address.rpartition(":")
     link = http.client.HTTPConnection(host, int(port), timeout=5)
     try:
         headers = {"X-Deadline-Ms": _PROBE_DEADLINE_MS}
@@ -30,12 +30,12 @@
         link.close()
 
 
-def _gap(running: cluster.Cluster, victim: cluster.Place) -> float:
+def _gap(running: cluster.Cluster, victim: cluster.VM) -> float:
     """Kills a daemon; returns seconds until one of its keys is served."""
     entry = next(
-        place for place in running.places if place.service != victim.service
+        place for place in running.vms if place.service != victim.service
     )
-    key = key_of(running, entry, victim)
+    key = find_owned_key(running, entry, victim)
     path = f"/v1/{victim.service}/browse?key={key}"
     victim.daemon_process.send_signal(signal.SIGKILL)
     begun = time.monotonic()
@@ -45,8 +45,8 @@
     return time.monotonic() - begun
 
 
-def key_of(
-    running: cluster.Cluster, entry: cluster.Place, victim: cluster.Place
+def find_owned_key(
+    running: cluster.Cluster, entry: cluster.VM, victim: cluster.VM
 ) -> str:
     """Returns a key that a victim's daemon owns.
 
@@ -55,24 +55,24 @@
     """
     for number in range(10_000):
         query = f"/explain?service={victim.service}&key=k{number}"
-        found = cluster.call(entry.http, "GET", query)[1]
+        found = cluster.call(entry.http_address, "GET", query)[1]
         if f'"daemon":"{victim.name}"'.encode() in found:
             return f"k{number}"
     raise RuntimeError(f"{victim.name} owns no key")
 
 
-def _measure(table_up: bool, kills: int, seed: int) -> list[table.Row]:
+def _measure(table_up: bool, kills: int, seed: int) -> list[report.Row]:
     rng = random.Random(seed)
     rows = []
-    with cluster.deployed(deployments.ASSOCIATION, _BASE_PORT) as running:
+    with cluster.run_deployment(deployments.ASSOCIATION, _BASE_PORT) as running:
         for number in range(kills):
-            victim = rng.choice(running.places)
-            running.faults(down=not table_up)
+            victim = rng.choice(running.vms)
+            running.set_faults(down=not table_up)
             time.sleep(0.5 + rng.random() * 0.2)
             gap = _gap(running, victim)
-            running.faults(down=False)
+            running.set_faults(down=False)
             running.start_daemon(victim)
-            running.ready(_READY_S)
+            running.wait_until_ready(_READY_S)
             rows.append(
                 {
                     "table": "up" if table_up else "down",
@@ -88,7 +88,7 @@
     """Kills daemons with the table up, and with it down."""
     kills = 3 if quick else 30
     raw = _measure(True, kills, 1) + _measure(False, kills, 2)
-    table.show("recovery_raw", raw)
+    report.show("recovery_raw", raw)
     summary = []
     for state in ("up", "down"):
         for checks in (True, False):
@@ -99,16 +99,16 @@
             ]
             if times:
                 summary.append(_summary(state, checks, times))
-    table.show("recovery", summary)
+    report.show("recovery", summary)
 
 
-def _summary(state: str, checks: bool, times: list[float]) -> table.Row:
+def _summary(state: str, checks: bool, times: list[float]) -> report.Row:
     return {
         "table": state,
         "targets_check": checks,
         "kills": len(times),
-        "p50_ms": table.percentile(times, 0.5),
-        "p99_ms": table.percentile(times, 0.99),
+        "p50_ms": report.percentile(times, 0.5),
+        "p99_ms": report.percentile(times, 0.99),
         "max_ms": max(times),
         "max_over_target": round(max(times) / _TARGET_MS, 3),
     }
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -5,7 +5,7 @@
 import signal
 import time
 
-from bench import process, table
+from bench import process, report
 from demo import cluster, deployments
 
 _SETTLE_S = 6.0
@@ -24,14 +24,14 @@
     )
 
 
-def _metrics(place: cluster.Place) -> dict[str, float]:
-    text = cluster.call(place.http, "GET", "/metrics")[1].decode()
+def _metrics(place: cluster.VM) -> dict[str, float]:
+    text = cluster.call(place.http_address, "GET", "/metrics")[1].decode()
     found = re.findall(r"^tamarackgap_(\w+)\{[^}]*\} (\S+)$", text, re.M)
     return {name: float(value) for name, value in found}
 
 
 def _counts(running: cluster.Cluster) -> dict[str, int]:
-    return json.loads(cluster.call(running.table, "GET", "/counts")[1])
+    return json.loads(cluster.call(running.table_address, "GET", "/counts")[1])
 
 
 def _mean_rate(before: list[float], after: list[float], time_s: float) -> float:
@@ -44,10 +44,10 @@
     return 1 << max(6, (4 * size - 1).bit_length())
 
 
-def _measure(size: int, loss: bool) -> list[table.Row]:
+def _measure(size: int, loss: bool) -> list[report.Row]:
     overrides = {"ownership": {"slots": _slots(size)}}
-    with cluster.deployed(
-        _plan(size), _BASE_PORT, even=False, overrides=overrides
+    with cluster.run_deployment(
+        _plan(size), _BASE_PORT, balanced=False, overrides=overrides
     ) as running:
         time.sleep(_SETTLE_S)
         rows = [_steady(running, size)]
@@ -56,16 +56,16 @@
         return rows
 
 
-def _steady(running: cluster.Cluster, size: int) -> table.Row:
-    pids = [place.daemon_process.pid for place in running.places]
-    metrics = [_metrics(place) for place in running.places]
+def _steady(running: cluster.Cluster, size: int) -> report.Row:
+    pids = [place.daemon_process.pid for place in running.vms]
+    metrics = [_metrics(place) for place in running.vms]
     counts = _counts(running)
-    cpu = [process.seconds(pid) for pid in pids]
+    cpu = [process.cpu_seconds(pid) for pid in pids]
     begun = time.monotonic()
     time.sleep(_MEASURE_S)
-    cpu_after = [process.seconds(pid) for pid in pids]
+    cpu_after = [process.cpu_seconds(pid) for pid in pids]
     took = time.monotonic() - begun
-    metrics_after = [_metrics(place) for place in running.places]
+    metrics_after = [_metrics(place) for place in running.vms]
     counts_after = _counts(running)
 
     def rate(name: str) -> float:
@@ -94,11 +94,11 @@
     }
 
 
-def _lose(running: cluster.Cluster, size: int) -> table.Row:
+def _lose(running: cluster.Cluster, size: int) -> report.Row:
     """Kills every daemon of one data centre at once."""
     before = _counts(running)["writes"]
     begun = time.monotonic()
-    for place in running.places:
+    for place in running.vms:
         if place.data_centre == "a":
             place.daemon_process.send_signal(signal.SIGKILL)
     peak = 0
@@ -125,7 +125,7 @@
 def run(quick: bool) -> None:
     """Measures deployments of growing size, idle."""
     sizes = (4, 8) if quick else (4, 8, 16, 32, 48)
-    rows: list[table.Row] = []
+    rows: list[report.Row] = []
     for size in sizes:
         rows += _measure(size, loss=size >= 8)
-    table.show("slopes", rows)
+    report.show("slopes", rows)
--- a/bench/state.py
+++ b/bench/state.py
@@ -4,7 +4,7 @@
 import time
 import tracemalloc
 
-from bench import table
+from bench import report
 from tamarackgap.ownership import planner
 from tamarackgap.placement import placement, records, slotowners, slots
 
@@ -44,7 +44,7 @@
     return rows
 
 
-def _measure(daemons: int) -> table.Row:
+def _measure(daemons: int) -> report.Row:
     rows = _rows(daemons)
     sent = sum(len(row.value) for row in rows)
     gc.collect()
@@ -76,4 +76,4 @@
 def run(quick: bool) -> None:
     """Measures views of growing size."""
     sizes = (60, 120) if quick else (450, 900, 1800)
-    table.show("state", [_measure(size) for size in sizes])
+    report.show("state", [_measure(size) for size in sizes])
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -12,22 +12,22 @@
 
     Attributes:
         number: Its number.
-        at: When it is sent, seconds.
+        sent_at: When it is sent, seconds.
         key: The key.
-        safe: Whether running it twice does no harm.
+        idempotent: Whether running it twice does no harm.
         service_s: Time that a server takes for it, seconds.
         poison: Whether it crashes each server that runs it.
     """
 
     number: int
-    at: float
+    sent_at: float
     key: str
-    safe: bool
+    idempotent: bool
     service_s: float
     poison: bool = False
 
 
-class Zipf:
+class ZipfKeys:
     """Keys with popularity 1/rank, in an order that can be changed."""
 
     def __init__(self, rng: random.Random, keys: int, exponent: float) -> None:
@@ -38,14 +38,14 @@
         self._sums = list(itertools.accumulate(weights))
         self._flash: tuple[str, float] | None = None
 
-    def shuffle(self, hottest: int) -> None:
+    def change_hottest(self, hottest: int) -> None:
         """Makes other keys the hottest ones."""
         for rank in range(hottest):
             other = self._rng.randrange(hottest, len(self._names))
             names = self._names
             names[rank], names[other] = names[other], names[rank]
 
-    def flash(self, key: str, share: float) -> None:
+    def set_hot_key(self, key: str, share: float) -> None:
         """Gives one key a share of all requests."""
         self._flash = (key, share)
 
@@ -57,8 +57,8 @@
         return self._names[bisect.bisect(self._sums, point)]
 
 
-def second(
-    rng: random.Random, keys: Zipf, now: float, rate: float, first: int
+def requests_of_second(
+    rng: random.Random, keys: ZipfKeys, now: float, rate: float, first: int
 ) -> list[Request]:
     """Returns the requests of one second, in order."""
     count = int(rate + rng.gauss(0, rate**0.5))
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -12,13 +12,13 @@
 
 import click
 
-from demo import cluster, deployments, judge, load, report
+from demo import checker, cluster, deployments, load, report
 
 _BASE_PORTS = {"association": 21000, "rentals": 22000}
 _READY_S = 30.0
 
 
-class Story:
+class FaultSchedule:
     """What is done to one deployment while it is under load."""
 
     def __init__(self, running: cluster.Cluster, seconds: float) -> None:
@@ -27,8 +27,8 @@
         self.seconds = seconds
         last = running.deployment.services[-1].name
         first = running.deployment.services[0].name
-        self.killed = running.place(f"{last}-0")
-        self.leaving = running.place(f"{first}-1")
+        self.killed = running.vm(f"{last}-0")
+        self.leaving = running.vm(f"{first}-1")
         self.left: dict[str, float] = {}
 
     def run(self) -> None:
@@ -38,7 +38,7 @@
         self.killed.daemon_process.send_signal(signal.SIGKILL)
         self._note(f"killed daemon {self.killed.name} (-9)")
         self._wait_until(begun + self.seconds * 0.55)
-        cluster.call(self.leaving.target, "POST", "/leave")
+        cluster.call(self.leaving.target_address, "POST", "/leave")
         self.left[self.leaving.name] = time.monotonic()
         self.leaving.daemon_process.send_signal(signal.SIGTERM)
         self._note(f"target {self.leaving.name} leaves, its daemon drains")
@@ -70,11 +70,11 @@
     for running in clusters:
         click.echo(
             f"starting {running.deployment.name}:"
-            f" {len(running.places)} targets, a daemon beside each"
+            f" {len(running.vms)} targets, a daemon beside each"
         )
         running.start()
     for running in clusters:
-        taken = running.ready(_READY_S)
+        taken = running.wait_until_ready(_READY_S)
         if taken is None:
             raise SystemExit(f"{running.deployment.name} did not get ready")
         click.echo(f"{running.deployment.name} is ready after {taken:.1f} s")
@@ -84,9 +84,9 @@
 def _drive(
     clusters: list[cluster.Cluster], seconds: float, rate: float, seed: int
 ) -> list[report.Summary]:
-    stories = [Story(running, seconds) for running in clusters]
+    stories = [FaultSchedule(running, seconds) for running in clusters]
     loads = [
-        load.Load(running, seconds, rate, seed + index)
+        load.LoadGenerator(running, seconds, rate, seed + index)
         for index, running in enumerate(clusters)
     ]
     threads = [
@@ -107,10 +107,10 @@
 
 
 def _evidence(
-    running: cluster.Cluster, part: load.Load, story: Story
-) -> judge.Evidence:
+    running: cluster.Cluster, part: load.LoadGenerator, story: FaultSchedule
+) -> checker.History:
     drained = {story.leaving.name: story.drained()}
-    return judge.Evidence(part.results, running.runs(), story.left, drained)
+    return checker.History(part.results, running.runs(), story.left, drained)
 
 
 @click.command()
--- a/demo/judge.py
+++ b/demo/checker.py
@@ -15,24 +15,24 @@
 LEAVING_LIMIT_S = 3.0
 
 
-class Evidence(msgspec.Struct, frozen=True):
+class History(msgspec.Struct, frozen=True):
     """All that is known of a run.
 
     Attributes:
         results: What the callers got.
         runs: What the targets say took effect.
-        left: Monotonic time at which each leaving target began to leave.
-        drained: Exit code of each daemon that was asked to drain.
-        edits: For each accepted edit, the weight it set, by row.
-        in_force: For each daemon, the weight it has in force, by row.
+        leave_started_at: Monotonic time when each target began to leave.
+        drain_exit_codes: Exit code of each daemon that was asked to drain.
+        edited_weights: For each accepted edit, the weight it set, by row.
+        weights_in_force: For each daemon, the weight it has in force, by row.
     """
 
     results: list[load.Result]
     runs: list[target_lib.RunRecord]
-    left: dict[str, float] = {}
-    drained: dict[str, int | None] = {}
-    edits: dict[str, int] = {}
-    in_force: dict[str, dict[str, int]] = {}
+    leave_started_at: dict[str, float] = {}
+    drain_exit_codes: dict[str, int | None] = {}
+    edited_weights: dict[str, int] = {}
+    weights_in_force: dict[str, dict[str, int]] = {}
 
 
 def _service(run: target_lib.RunRecord) -> str:
@@ -43,7 +43,7 @@
     return [run for run in runs if not run.operation.startswith("GET")]
 
 
-def two_owners(evidence: Evidence) -> list[str]:
+def two_owners(evidence: History) -> list[str]:
     """Finds keys that two targets worked on at the same time."""
     by_key = collections.defaultdict(list)
     for run in evidence.runs:
@@ -61,7 +61,7 @@
     return found
 
 
-def fences_fall(evidence: Evidence) -> list[str]:
+def fences_fall(evidence: History) -> list[str]:
     """Finds runs under a lower fence than an earlier run of the slot."""
     highest: dict[tuple[str, int], target_lib.RunRecord] = {}
     found = []
@@ -81,16 +81,16 @@
     return found
 
 
-def wrong_answers(evidence: Evidence) -> list[str]:
+def wrong_answers(evidence: History) -> list[str]:
     """Finds answers that were not whole or not the caller's own."""
     return [
-        f"{done.request}: {done.wrong}"
+        f"{done.request_id}: {done.answer_error}"
         for done in evidence.results
-        if done.wrong
+        if done.answer_error
     ]
 
 
-def doubled(evidence: Evidence) -> list[str]:
+def doubled(evidence: History) -> list[str]:
     """Finds non-idempotent requests that ran more than once."""
     counts = collections.Counter(run.request for run in _unsafe(evidence.runs))
     return [
@@ -100,51 +100,52 @@
     ]
 
 
-def ran_though_not(evidence: Evidence) -> list[str]:
+def ran_though_not(evidence: History) -> list[str]:
     """Finds requests that ran though every verdict said "not run"."""
     ran = {run.request for run in _unsafe(evidence.runs)}
     return [
-        done.request
+        done.request_id
         for done in evidence.results
-        if set(done.verdicts) == {"not-run"} and done.request in ran
+        if set(done.verdicts) == {"not-run"} and done.request_id in ran
     ]
 
 
-def answered_unrun(evidence: Evidence) -> list[str]:
+def answered_unrun(evidence: History) -> list[str]:
     """Finds requests that were answered though no target ran them."""
     ran = {run.request for run in evidence.runs}
     return [
-        done.request
+        done.request_id
         for done in evidence.results
-        if done.verdict == "answered" and done.request not in ran
+        if done.verdict == "answered" and done.request_id not in ran
     ]
 
 
-def work_after_leaving(evidence: Evidence) -> list[str]:
+def work_after_leaving(evidence: History) -> list[str]:
     """Finds work that a leaving target got too late."""
     return [
-        f"{run.target}: {run.begun - evidence.left[run.target]:.1f} s later"
+        f"{run.target}: "
+        f"{run.begun - evidence.leave_started_at[run.target]:.1f} s later"
         for run in evidence.runs
-        if run.target in evidence.left
-        and run.begun > evidence.left[run.target] + LEAVING_LIMIT_S
+        if run.target in evidence.leave_started_at
+        and run.begun > evidence.leave_started_at[run.target] + LEAVING_LIMIT_S
     ]
 
 
-def cut_by_shutdown(evidence: Evidence) -> list[str]:
+def cut_by_shutdown(evidence: History) -> list[str]:
     """Finds daemons that did not drain cleanly."""
     return [
         f"{name}: exit code {code}"
-        for name, code in evidence.drained.items()
+        for name, code in evidence.drain_exit_codes.items()
         if code != 0
     ]
 
 
-def reverted_edits(evidence: Evidence) -> list[str]:
+def reverted_edits(evidence: History) -> list[str]:
     """Finds daemons in which an accepted edit is not in force."""
     return [
         f"{daemon}: {row} is {weights.get(row)}, not {weight}"
-        for daemon, weights in evidence.in_force.items()
-        for row, weight in evidence.edits.items()
+        for daemon, weights in evidence.weights_in_force.items()
+        for row, weight in evidence.edited_weights.items()
         if weights.get(row) != weight
     ]
 
@@ -162,6 +163,6 @@
 )
 
 
-def judge(evidence: Evidence) -> dict[str, list[str]]:
+def find_violations(evidence: History) -> dict[str, list[str]]:
     """Returns the violations of each check, by the check's name."""
     return {check.__name__: check(evidence) for check in CHECKS}
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -22,16 +22,16 @@
 _READY_S = 90.0
 
 
-class Place(msgspec.Struct):
+class VM(msgspec.Struct):
     """One VM: a target and the daemon beside it.
 
     Attributes:
         name: Name of the daemon and the target.
         service: Their service.
         data_centre: Where the VM stands.
-        http: The daemon's `ip:port` for callers.
-        peer: The daemon's `ip:port` for other daemons.
-        target: The target's `ip:port`.
+        http_address: The daemon's `ip:port` for callers.
+        peer_address: The daemon's `ip:port` for other daemons.
+        target_address: The target's `ip:port`.
         checks_grants: Whether the target checks grants.
         daemon_process: The daemon.
         target_process: The target.
@@ -40,9 +40,9 @@
     name: str
     service: str
     data_centre: str
-    http: str
-    peer: str
-    target: str
+    http_address: str
+    peer_address: str
+    target_address: str
     checks_grants: bool
     daemon_process: subprocess.Popen | None = None
     target_process: subprocess.Popen | None = None
@@ -65,10 +65,10 @@
 
 
 @contextlib.contextmanager
-def deployed(
+def run_deployment(
     plan: deployments.Deployment,
     base_port: int,
-    even: bool = True,
+    balanced: bool = True,
     **options: object,
 ) -> Iterator[Cluster]:
     """Runs a deployment in a temporary folder, for a measurement.
@@ -76,7 +76,7 @@
     Args:
         plan: What to start.
         base_port: First of the ports.
-        even: Whether to wait for an even spread.
+        balanced: Whether to wait for an even spread.
         **options: As for `Cluster`.
 
     Raises:
@@ -86,7 +86,7 @@
         running = Cluster(plan, pathlib.Path(folder), base_port, **options)
         running.start()
         try:
-            if running.ready(_READY_S, even) is None:
+            if running.wait_until_ready(_READY_S, balanced) is None:
                 raise RuntimeError(f"{plan.name} did not get ready")
             yield running
         finally:
@@ -117,45 +117,45 @@
         self.folder = folder
         self.work_ms = work_ms
         self._overrides = overrides or {}
-        self.table = f"{_HOST}:{base_port}"
+        self.table_address = f"{_HOST}:{base_port}"
         self.platform: subprocess.Popen | None = None
-        self.places: list[Place] = []
+        self.vms: list[VM] = []
         port = base_port + 1
         for service in deployment.services:
-            for index in range(service.servers):
+            for index in range(service.target_count):
                 centres = deployment.data_centres
-                self.places.append(
-                    Place(
+                self.vms.append(
+                    VM(
                         name=f"{service.name}-{index}",
                         service=service.name,
                         data_centre=centres[index % len(centres)],
-                        http=f"{_HOST}:{port}",
-                        peer=f"{_HOST}:{port + 1}",
-                        target=f"{_HOST}:{port + 2}",
+                        http_address=f"{_HOST}:{port}",
+                        peer_address=f"{_HOST}:{port + 1}",
+                        target_address=f"{_HOST}:{port + 2}",
                         checks_grants=service.checks_grants,
                     )
                 )
                 port += 3
 
-    def place(self, name: str) -> Place:
+    def vm(self, name: str) -> VM:
         """Returns the VM with a name."""
-        return next(place for place in self.places if place.name == name)
+        return next(place for place in self.vms if place.name == name)
 
     def start(self) -> None:
         """Starts everything."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.start_platform()
-        for place in self.places:
+        for place in self.vms:
             self.start_target(place)
             self.start_daemon(place)
 
     def start_platform(self) -> None:
         """Starts the platform's stand-in."""
         self.platform = self._run(
-            "platform", "standins.platform", "--listen", self.table
+            "platform", "standins.platform", "--listen", self.table_address
         )
 
-    def start_target(self, place: Place) -> None:
+    def start_target(self, place: VM) -> None:
         """Starts a VM's target."""
         flag = (
             "--checks-grants" if place.checks_grants else "--no-checks-grants"
@@ -168,9 +168,9 @@
             "--service",
             place.service,
             "--listen",
-            place.target,
+            place.target_address,
             "--daemon",
-            place.http,
+            place.http_address,
             "--slots",
             str(self.deployment.slots),
             "--connections",
@@ -182,7 +182,7 @@
             flag,
         )
 
-    def settings(self, place: Place) -> pathlib.Path:
+    def write_settings(self, place: VM) -> pathlib.Path:
         """Writes a daemon's settings file and returns its path."""
         sections: dict[str, dict[str, object]] = {
             "daemon": {
@@ -190,11 +190,11 @@
                 "name": place.name,
                 "service": place.service,
                 "data_centre": place.data_centre,
-                "http_address": place.http,
-                "peer_address": place.peer,
+                "http_address": place.http_address,
+                "peer_address": place.peer_address,
                 "log": self.folder / f"{place.name}.log",
             },
-            "table": {"address": self.table},
+            "table": {"address": self.table_address},
         }
         for section, values in self._overrides.items():
             sections.setdefault(section, {}).update(values)
@@ -206,12 +206,12 @@
         path.write_text("\n".join(lines) + "\n", encoding="utf-8")
         return path
 
-    def start_daemon(self, place: Place) -> None:
+    def start_daemon(self, place: VM) -> None:
         """Starts a VM's daemon."""
-        place.daemon_process = self.run_again(place, "daemon")
+        place.daemon_process = self.launch_daemon(place, "daemon")
 
-    def run_again(
-        self, place: Place, prefix: str = "again"
+    def launch_daemon(
+        self, place: VM, prefix: str = "again"
     ) -> subprocess.Popen:
         """Starts a daemon with a VM's settings, and returns the process."""
         return self._run(
@@ -219,57 +219,57 @@
             "tamarackgap",
             "daemon",
             "--config",
-            str(self.settings(place)),
+            str(self.write_settings(place)),
         )
 
-    def ready(self, seconds: float, even: bool = True) -> float | None:
+    def wait_until_ready(
+        self, seconds: float, balanced: bool = True
+    ) -> float | None:
         """Waits until all slots are owned; returns the time, or None.
 
         Args:
             seconds: Longest wait.
-            even: Whether to wait for an even spread as well.
+            balanced: Whether to wait for an even spread as well.
         """
         begun = time.monotonic()
         while time.monotonic() - begun < seconds:
-            if self._is_ready(even):
+            if self._is_ready(balanced):
                 return time.monotonic() - begun
             time.sleep(0.1)
         return None
 
-    def _is_ready(self, even: bool) -> bool:
+    def _is_ready(self, balanced: bool) -> bool:
         slots = self._overrides.get("ownership", {}).get("slots", 256)
         for service in self.deployment.services:
-            counts = self.owned(service.name)
+            counts = self.owned_slot_counts(service.name)
             if None in counts or sum(counts) != slots:
                 return False
-            if even and max(counts) > 1.1 * min(counts) + 2:
+            if balanced and max(counts) > 1.1 * min(counts) + 2:
                 return False
         return True
 
-    def owned(self, service: str) -> list[int | None]:
+    def owned_slot_counts(self, service: str) -> list[int | None]:
         """Returns the number of slots of each daemon of a service."""
         return [
-            self._owned(place)
-            for place in self.places
-            if place.service == service
+            self._owned(place) for place in self.vms if place.service == service
         ]
 
-    def _owned(self, place: Place) -> int | None:
+    def _owned(self, place: VM) -> int | None:
         with contextlib.suppress(OSError, ValueError):
-            status = json.loads(call(place.http, "GET", "/status")[1])
+            status = json.loads(call(place.http_address, "GET", "/status")[1])
             if status["lease_left_ms"] > 0:
                 return status["owned"]
         return None
 
-    def faults(self, **values: object) -> None:
+    def set_faults(self, **values: object) -> None:
         """Switches faults of the platform."""
-        call(self.table, "POST", "/faults", values)
+        call(self.table_address, "POST", "/faults", values)
 
     def runs(self) -> list[target_lib.RunRecord]:
         """Returns everything that the targets say took effect."""
         decoder = msgspec.json.Decoder(target_lib.RunRecord)
         found = []
-        for place in self.places:
+        for place in self.vms:
             path = self.folder / f"{place.name}.runs"
             if path.exists():
                 found += decoder.decode_lines(path.read_bytes())
@@ -279,19 +279,19 @@
         """Returns all daemons' log lines of one event."""
         return [
             line
-            for place in self.places
+            for place in self.vms
             for line in self._log_of(place).splitlines()
             if f" event={event} " in line
         ]
 
-    def _log_of(self, place: Place) -> str:
+    def _log_of(self, place: VM) -> str:
         path = self.folder / f"{place.name}.log"
         return path.read_text(encoding="utf-8") if path.exists() else ""
 
     def stop(self) -> None:
         """Ends all processes that were started here."""
         processes = [self.platform]
-        for place in self.places:
+        for place in self.vms:
             processes += [place.daemon_process, place.target_process]
         for process in filter(None, processes):
             if process.poll() is None:
--- a/demo/deployments.py
+++ b/demo/deployments.py
@@ -8,12 +8,12 @@
 
     Attributes:
         name: Its name.
-        servers: Number of targets.
+        target_count: Number of targets.
         checks_grants: Whether its targets check who gives them an order.
     """
 
     name: str
-    servers: int
+    target_count: int
     checks_grants: bool
 
 
--- a/demo/load.py
+++ b/demo/load.py
@@ -24,29 +24,29 @@
     """What a caller got for one request, after its resends.
 
     Attributes:
-        request: The request's id.
+        request_id: The request's id.
         key: The key.
         operation: Method and path.
-        safe: Whether running it twice does no harm.
+        idempotent: Whether running it twice does no harm.
         verdict: The last verdict; "no-connection" where there was none.
         reason: Reason of a refusal.
-        wrong: What was wrong with the answer, if anything.
-        sends: How often it was sent.
-        begun: Monotonic time of the first sending, seconds.
-        seconds: Time until the last answer.
+        answer_error: What was wrong with the answer, if anything.
+        attempts: How often it was sent.
+        started_at: Monotonic time of the first sending, seconds.
+        latency_s: Time until the last answer.
         verdicts: All verdicts in order.
     """
 
-    request: str
+    request_id: str
     key: str
     operation: str
-    safe: bool
+    idempotent: bool
     verdict: str
     reason: str
-    wrong: str
-    sends: int
-    begun: float
-    seconds: float
+    answer_error: str
+    attempts: int
+    started_at: float
+    latency_s: float
     verdicts: tuple[str, ...]
 
 
@@ -58,7 +58,7 @@
     body: bytes
 
 
-class Load:
+class LoadGenerator:
     """Open-loop arrivals, worked off by threads with kept connections."""
 
     def __init__(
@@ -106,7 +106,7 @@
         shares = [operation.share for operation in operations]
         operation = self._rng.choices(operations, shares)[0]
         key = self._rng.choices(self._keys, self._weights)[0]
-        return operation, key, self._rng.randrange(len(self.cluster.places))
+        return operation, key, self._rng.randrange(len(self.cluster.vms))
 
     def _work(self, index: int) -> None:
         links: dict[str, http.client.HTTPConnection] = {}
@@ -130,11 +130,9 @@
         verdicts: list[str] = []
         reply = Reply("no-connection", "", b"")
         for send in range(1 + _RESENDS):
-            place = self.cluster.places[
-                (entry + send) % len(self.cluster.places)
-            ]
+            place = self.cluster.vms[(entry + send) % len(self.cluster.vms)]
             reply = self._send(
-                links, place.http, operation, key, request, send + 1
+                links, place.http_address, operation, key, request, send + 1
             )
             verdicts.append(reply.verdict)
             if reply.verdict == "answered":
@@ -144,16 +142,16 @@
         if reply.verdict == "answered":
             wrong = _check(reply.body, request, key, operation)
         return Result(
-            request=request,
+            request_id=request,
             key=key,
             operation=f"{operation.method} {operation.path}",
-            safe=operation.method == "GET",
+            idempotent=operation.method == "GET",
             verdict=reply.verdict,
             reason=reply.reason,
-            wrong=wrong,
-            sends=len(verdicts),
-            begun=begun,
-            seconds=time.monotonic() - begun,
+            answer_error=wrong,
+            attempts=len(verdicts),
+            started_at=begun,
+            latency_s=time.monotonic() - begun,
             verdicts=tuple(verdicts),
         )
 
--- a/demo/report.py
+++ b/demo/report.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from demo import cluster, judge, load
+from demo import checker, cluster, load
 
 _MILLISECONDS = 1000
 
@@ -45,12 +45,12 @@
     broken: tuple[str, ...]
 
 
-def summarise(running: cluster.Cluster, evidence: judge.Evidence) -> Summary:
+def summarise(running: cluster.Cluster, evidence: checker.History) -> Summary:
     """Returns the outcome of a run."""
     results = evidence.results
-    violations = judge.judge(evidence)
+    violations = checker.find_violations(evidence)
     latencies = sorted(
-        done.seconds for done in results if done.verdict == "answered"
+        done.latency_s for done in results if done.verdict == "answered"
     )
     name = running.deployment.name
     broken = [
@@ -100,14 +100,14 @@
             for run in runs
             if run.target.rpartition("-")[0] == service.name
         )
-        mean = sum(counts.values()) / service.servers
+        mean = sum(counts.values()) / service.target_count
         found[service.name] = round(max(counts.values()) / mean, 2)
     return found
 
 
 def _moved(running: cluster.Cluster, results: list[load.Result]) -> int:
     """Returns slots moved or taken over, from the daemons' logs."""
-    begun = min(int(done.request.partition("-")[0]) for done in results)
+    begun = min(int(done.request_id.partition("-")[0]) for done in results)
     moved = 0
     for event, field in (("slots_changed", "gained"), ("taken_over", "slots")):
         moved += sum(
@@ -127,9 +127,9 @@
 def _longest_wait(results: list[load.Result]) -> float:
     """Returns the longest time to an answer without a resend."""
     waits = [
-        done.seconds
+        done.latency_s
         for done in results
-        if done.verdict == "answered" and done.sends == 1
+        if done.verdict == "answered" and done.attempts == 1
     ]
     return round(max(waits, default=0.0) * _MILLISECONDS, 1)
 
--- a/tests/processes/test_daemon.py
+++ b/tests/processes/test_daemon.py
@@ -31,13 +31,13 @@
 
 def is_serving(live_cluster):
     status, verdict, data = callers.send_request(
-        live_cluster.places[0], "GET", "/v1/seats/browse?key=still-works"
+        live_cluster.vms[0], "GET", "/v1/seats/browse?key=still-works"
     )
     return status == 200 and json.loads(data)["key"] == "still-works"
 
 
 def test_any_daemon_answers_for_any_key(live_cluster):
-    for index, place in enumerate(live_cluster.places):
+    for index, place in enumerate(live_cluster.vms):
         for service in ("seats", "payments"):
             key = f"hall {index} ghế"
             path = f"/v1/{service}/x?key=" + "hall%20{}%20gh%E1%BA%BF"
@@ -55,7 +55,7 @@
         json.loads(
             callers.send_request(place, "GET", "/v1/seats/x?key=one")[2]
         )["target"]
-        for place in live_cluster.places
+        for place in live_cluster.vms
     }
     assert len(targets) == 1
 
@@ -65,7 +65,7 @@
     path = "/v1/payments/pay?key=family-1"
     first, second = (
         callers.send_request(
-            live_cluster.places[entry],
+            live_cluster.vms[entry],
             "POST",
             path,
             b"fee",
@@ -98,9 +98,7 @@
 def test_bad_input_is_refused_with_a_reason(
     live_cluster, path, headers, status, reason
 ):
-    response = callers.send_request(
-        live_cluster.places[1], "GET", path, **headers
-    )
+    response = callers.send_request(live_cluster.vms[1], "GET", path, **headers)
     assert response[:2] == (status, "not-run")
     assert json.loads(response[2])["reason"] == reason
     assert is_serving(live_cluster)
@@ -109,7 +107,7 @@
 @pytest.mark.parametrize("size", [BODY_LIMIT + 1, 10 * BODY_LIMIT])
 def test_a_body_over_the_limit_is_refused(live_cluster, size):
     response = callers.send_request(
-        live_cluster.places[1], "POST", "/v1/seats/x?key=a", b"x" * size
+        live_cluster.vms[1], "POST", "/v1/seats/x?key=a", b"x" * size
     )
     assert response[:2] == (413, "not-run")
     assert is_serving(live_cluster)
@@ -126,7 +124,7 @@
 
 @pytest.mark.parametrize("text", MALFORMED_HTTP)
 def test_malformed_http_does_not_disturb_the_daemon(live_cluster, text):
-    host, _, port = live_cluster.places[1].http.rpartition(":")
+    host, _, port = live_cluster.vms[1].http_address.rpartition(":")
     with socket.create_connection(
         (host, int(port)), timeout=callers.TIMEOUT_S
     ) as sock:
@@ -138,12 +136,12 @@
 
 @pytest.mark.parametrize("frame", [b"", b"\xc1 nonsense", b"\x94" * 50])
 def test_malformed_peer_frames_are_logged_and_dropped(live_cluster, frame):
-    place = live_cluster.places[1]
+    place = live_cluster.vms[1]
     log = live_cluster.folder / f"{place.name}.log"
     before = log.read_text().count("event=peer_frame_malformed")
     with zmq.Context() as context, context.socket(zmq.PUSH) as push:
         push.linger = 2000
-        push.connect(f"tcp://{place.peer}")
+        push.connect(f"tcp://{place.peer_address}")
         push.send(frame)
         callers.wait_until(
             lambda: log.read_text().count("event=peer_frame_malformed") > before
@@ -152,7 +150,7 @@
 
 
 def test_messages_of_another_deployment_are_logged_and_dropped(live_cluster):
-    place = live_cluster.places[1]
+    place = live_cluster.vms[1]
     log = live_cluster.folder / f"{place.name}.log"
     frame = messages.encode(
         messages.Envelope(
@@ -160,7 +158,7 @@
         )
     )
     with zmq.Context() as context, context.socket(zmq.PUSH) as push:
-        push.connect(f"tcp://{place.peer}")
+        push.connect(f"tcp://{place.peer_address}")
         push.send(frame)
         callers.wait_until(
             lambda: (
@@ -182,19 +180,19 @@
     live_cluster, fault, reason
 ):
     place = callers.owner_of(live_cluster, "payments", "k1")
-    cluster.call(place.target, "POST", "/faults", fault)
+    cluster.call(place.target_address, "POST", "/faults", fault)
     try:
         response = callers.send_request(
-            live_cluster.places[0], "POST", "/v1/payments/pay?key=k1"
+            live_cluster.vms[0], "POST", "/v1/payments/pay?key=k1"
         )
     finally:
         no_faults = {"truncate": False, "oversize": 0}
-        cluster.call(place.target, "POST", "/faults", no_faults)
+        cluster.call(place.target_address, "POST", "/faults", no_faults)
     assert response[:2] == (504, "may-have-run")
     assert json.loads(response[2])["reason"] == reason
     assert (
         callers.send_request(
-            live_cluster.places[0], "GET", "/v1/payments/x?key=k1"
+            live_cluster.vms[0], "GET", "/v1/payments/x?key=k1"
         )[0]
         == 200
     )
@@ -211,7 +209,7 @@
         }
     )
     response = callers.send_request(
-        live_cluster.places[0], "POST", "/announce", body.encode()
+        live_cluster.vms[0], "POST", "/announce", body.encode()
     )
     assert response[0] == 400
     assert b"service other: expected seats" in response[2]
@@ -219,7 +217,7 @@
 
 def test_metrics_are_served(live_cluster):
     status, _, text = callers.send_request(
-        live_cluster.places[0], "GET", "/metrics"
+        live_cluster.vms[0], "GET", "/metrics"
     )
     assert status == 200
     assert b"tamarackgap_owned_slots" in text
@@ -227,9 +225,9 @@
 
 def test_the_log_line_of_a_request_has_its_fields(live_cluster):
     callers.send_request(
-        live_cluster.places[0], "GET", "/v1/seats/x?key=logged-key"
+        live_cluster.vms[0], "GET", "/v1/seats/x?key=logged-key"
     )
-    log = live_cluster.folder / f"{live_cluster.places[0].name}.log"
+    log = live_cluster.folder / f"{live_cluster.vms[0].name}.log"
     lines = log.read_text().splitlines()
     line = next(
         line
@@ -241,8 +239,8 @@
 
 
 def test_operator_commands_work_on_running_daemons(live_cluster):
-    daemon = ("--daemon", live_cluster.places[0].http)
-    table = ("--table", live_cluster.table)
+    daemon = ("--daemon", live_cluster.vms[0].http_address)
+    table = ("--table", live_cluster.table_address)
 
     def run(*words):
         invocation = testing.CliRunner().invoke(cmdline.cli, list(words))
@@ -261,18 +259,18 @@
     place = callers.owner_of(live_cluster, "seats", "k2")
     place.daemon_process.send_signal(signal.SIGKILL)
     place.daemon_process.wait()
-    others = [other for other in live_cluster.places if other is not place]
+    others = [other for other in live_cluster.vms if other is not place]
     response = callers.send_request(
         others[0], "GET", "/v1/seats/x?key=k2", X_Deadline_Ms="20000"
     )
     assert response[0] == 200
     live_cluster.start_daemon(place)
-    assert live_cluster.ready(clusters.READY_TIMEOUT_S) is not None
+    assert live_cluster.wait_until_ready(clusters.READY_TIMEOUT_S) is not None
 
 
 def test_a_draining_daemon_drops_no_request_and_exits_with_0(live_cluster):
     place = callers.owner_of(live_cluster, "payments", "k3")
-    others = [other for other in live_cluster.places if other is not place]
+    others = [other for other in live_cluster.vms if other is not place]
     place.daemon_process.send_signal(signal.SIGTERM)
     for number in range(20):
         path = f"/v1/payments/pay?key=k{number}"
@@ -281,12 +279,12 @@
     out = (live_cluster.folder / f"daemon-{place.name}.out").read_text()
     assert "leaked" not in out
     live_cluster.start_daemon(place)
-    assert live_cluster.ready(clusters.READY_TIMEOUT_S) is not None
+    assert live_cluster.wait_until_ready(clusters.READY_TIMEOUT_S) is not None
 
 
 def test_an_address_in_use_is_reported_without_traceback(live_cluster):
-    place = live_cluster.places[0]
-    process = live_cluster.run_again(place)
+    place = live_cluster.vms[0]
+    process = live_cluster.launch_daemon(place)
     assert process.wait(timeout=callers.TIMEOUT_S) == 1
     out = (live_cluster.folder / f"again-{place.name}.out").read_text()
     assert "cannot start" in out
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -17,7 +17,7 @@
         body: Body of the request.
         **headers: Header fields, with `_` for `-` in their names.
     """
-    host, _, port = vm.http.rpartition(":")
+    host, _, port = vm.http_address.rpartition(":")
     connection = http.client.HTTPConnection(host, int(port), timeout=TIMEOUT_S)
     fields = {name.replace("_", "-"): text for name, text in headers.items()}
     connection.request(method, path, body, fields)
--- a/tests/support/clusters.py
+++ b/tests/support/clusters.py
@@ -46,7 +46,7 @@
         overrides=overrides,
     )
     running.start()
-    if running.ready(READY_TIMEOUT_S) is None:
+    if running.wait_until_ready(READY_TIMEOUT_S) is None:
         running.stop()
         raise RuntimeError("some slots have no owner or are spread unevenly")
     return running
--- a/tests/test_bench_loads.py
+++ b/tests/test_bench_loads.py
@@ -14,13 +14,13 @@
 
 
 def _play(name, shipped=True):
-    return loads.Play(SCENARIOS[name], shipped, 1).run()
+    return loads.Simulation(SCENARIOS[name], shipped, 1).run()
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_no_fewer_callers_meet_their_objective_than_before(name):
-    before = _play(name, shipped=False).served_in_aim
-    assert _play(name).served_in_aim >= before
+    before = _play(name, shipped=False).share_in_objective
+    assert _play(name).share_in_objective >= before
 
 
 @pytest.mark.parametrize("name", ["burst", "overload"])
@@ -30,19 +30,19 @@
 
 @pytest.mark.parametrize("name", ["burst", "overload", "one joins"])
 def test_most_refusals_leave_time_for_another_attempt(name):
-    assert _play(name).held_for(0.9) <= MAX_REFUSAL_S
+    assert _play(name).refusal_delay(0.9) <= MAX_REFUSAL_S
 
 
 def test_a_target_that_joins_gets_calls_within_a_second():
     scenario = SCENARIOS["one joins"]
-    started_at = _play("one joins").at_last
-    assert min(started_at) < scenario.joins + 1.0
+    started_at = _play("one joins").last_target_starts
+    assert min(started_at) < scenario.last_joins_at + 1.0
 
 
 def test_targets_that_lose_a_few_answers_stay_in_use():
     # Half of the targets lose one answer in 20, so one call in 40 fails under
     # any policy. The targets have capacity for all others.
-    assert _play("answers lost").served_in_aim >= 0.9
+    assert _play("answers lost").share_in_objective >= 0.9
 
 
 @pytest.mark.parametrize(
@@ -51,4 +51,4 @@
     [("many entries", 0.98), ("many entries, full", 0.93)],
 )
 def test_many_daemons_do_not_all_send_to_the_same_idle_target(name, served):
-    assert _play(name).served_in_aim >= served
+    assert _play(name).share_in_objective >= served
--- a/tests/test_judge.py
+++ b/tests/test_checker.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from demo import judge, load
+from demo import checker, load
 from standins import target as target_lib
 
 
@@ -10,12 +10,12 @@
     values = {
         "key": "k",
         "operation": "POST pay",
-        "safe": False,
+        "idempotent": False,
         "reason": "",
-        "wrong": "",
-        "sends": 1,
-        "begun": 0.0,
-        "seconds": 0.1,
+        "answer_error": "",
+        "attempts": 1,
+        "started_at": 0.0,
+        "latency_s": 0.1,
         "verdicts": (verdict,),
         **changed,
     }
@@ -38,11 +38,11 @@
     )
 
 
-VALID = judge.Evidence([make_result()], [make_run()])
+VALID = checker.History([make_result()], [make_run()])
 
 
 def test_a_valid_history_has_no_violations():
-    assert not any(judge.judge(VALID).values())
+    assert not any(checker.find_violations(VALID).values())
 
 
 CASES = [
@@ -64,13 +64,13 @@
     (
         "work_after_leaving",
         [make_run(begun=9.0, at=9.1)],
-        {"left": {"pay-0": 5.0}},
+        {"leave_started_at": {"pay-0": 5.0}},
     ),
-    ("cut_by_shutdown", [make_run()], {"drained": {"pay-0": None}}),
+    ("cut_by_shutdown", [make_run()], {"drain_exit_codes": {"pay-0": None}}),
     (
         "reverted_edits",
         [make_run()],
-        {"edits": {"a": 5}, "in_force": {"pay-0": {"a": 4}}},
+        {"edited_weights": {"a": 5}, "weights_in_force": {"pay-0": {"a": 4}}},
     ),
 ]
 
@@ -78,5 +78,5 @@
 @pytest.mark.parametrize(("check", "runs", "changed"), CASES)
 def test_a_violation_is_found_by_its_check_alone(check, runs, changed):
     values = {"results": [make_result()], "runs": runs, **changed}
-    violations = judge.judge(judge.Evidence(**values))
+    violations = checker.find_violations(checker.History(**values))
     assert [name for name, found in violations.items() if found] == [check]
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -54,7 +54,10 @@
 
 def test_the_table_of_days_matches_the_journal():
     note = journal.NOTE.read_text()
-    assert journal.insert(note, journal.table(journal.entries())) == note
+    assert (
+        journal.insert_table(note, journal.render_table(journal.load_entries()))
+        == note
+    )
 
 
 def test_the_module_map_matches_the_tree():
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -23,14 +23,14 @@
 
 
 def crash_count(running):
-    return sum(vm.target_process.poll() == 1 for vm in running.places)
+    return sum(vm.target_process.poll() == 1 for vm in running.vms)
 
 
 @pytest.mark.parametrize("idempotent", ["true", "false"])
 def test_a_request_that_crashes_targets_is_refused_after_one_trial(
     running, idempotent
 ):
-    entries = [p for p in running.places if p.service == "payments"]
+    entries = [p for p in running.vms if p.service == "payments"]
     replies = []
     for number in range(9):
         replies.append(
@@ -58,9 +58,9 @@
 
 def test_requests_in_progress_when_a_target_crashes_are_served(running):
     vm = callers.owner_of(running, "payments", "k")
-    entry = next(p for p in running.places if p.service == "seats")
+    entry = next(p for p in running.vms if p.service == "seats")
     slow_path = "/v1/payments/roster?key=k"
-    host, _, port = entry.http.rpartition(":")
+    host, _, port = entry.http_address.rpartition(":")
     connections = []
     for number in range(2):
         connection = socket.create_connection((host, int(port)), timeout=30)
@@ -78,7 +78,7 @@
 
 def test_a_target_that_hangs_loses_its_slots(running):
     vm = callers.owner_of(running, "seats", "k")
-    entry = next(p for p in running.places if p.service == "payments")
+    entry = next(p for p in running.vms if p.service == "payments")
     vm.target_process.send_signal(signal.SIGSTOP)
     try:
         reply = callers.send_request(
@@ -105,16 +105,16 @@
 def test_a_working_target_that_reports_bad_health_keeps_its_slots(running):
     vm = callers.owner_of(running, "seats", "k")
     false_report = {"health": "dead", "load": 9999}
-    cluster.call(vm.target, "POST", "/faults", false_report)
-    entry = running.places[-1]
+    cluster.call(vm.target_address, "POST", "/faults", false_report)
+    entry = running.vms[-1]
     reply = callers.send_request(entry, "GET", "/v1/seats/browse?key=k")
     assert json.loads(reply[2])["target"] == vm.name
 
 
 def test_a_target_that_stops_announcing_but_serves_keeps_its_slots(running):
     vm = callers.owner_of(running, "seats", "k")
-    entry = running.places[-1]
-    cluster.call(vm.target, "POST", "/faults", {"silent": True})
+    entry = running.vms[-1]
+    cluster.call(vm.target_address, "POST", "/faults", {"silent": True})
     for _ in range(25):
         reply = callers.send_request(entry, "GET", "/v1/seats/browse?key=k")
         assert json.loads(reply[2])["target"] == vm.name
@@ -123,11 +123,11 @@
 
 
 def test_a_request_that_every_target_sheds_is_reported_as_not_run(running):
-    for vm in running.places:
+    for vm in running.vms:
         if vm.service == "payments":
-            cluster.call(vm.target, "POST", "/faults", {"shed": True})
+            cluster.call(vm.target_address, "POST", "/faults", {"shed": True})
     reply = callers.send_request(
-        running.places[0],
+        running.vms[0],
         "POST",
         "/v1/payments/pay?key=k",
         # The retry budget ends the request long before this deadline.
@@ -141,10 +141,10 @@
 
 
 def test_a_request_is_cancelled_when_its_caller_disconnects(running):
-    entry = next(p for p in running.places if p.service == "seats")
+    entry = next(p for p in running.vms if p.service == "seats")
     owner = callers.owner_of(running, "payments", "gone")
-    cluster.call(owner.target, "POST", "/faults", {"extra_s": 2.0})
-    host, _, port = entry.http.rpartition(":")
+    cluster.call(owner.target_address, "POST", "/faults", {"extra_s": 2.0})
+    host, _, port = entry.http_address.rpartition(":")
     with socket.create_connection((host, int(port)), timeout=30) as connection:
         connection.sendall(
             b"POST /v1/payments/roster?key=gone HTTP/1.1\r\nHost: h\r\n"
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from demo import cluster, judge, load
+from demo import checker, cluster, load
 from tamarackgap.commands import control
 from tamarackgap.ownership import reports
 from tests.support import clusters
@@ -57,7 +57,7 @@
                 time.sleep(self.rng.uniform(0.2, 0.8))
 
     def pick_vm(self):
-        return self.rng.choice(self.running.places)
+        return self.rng.choice(self.running.vms)
 
     def kill_daemon(self):
         vm = self.pick_vm()
@@ -79,18 +79,18 @@
 
     def interrupt_table(self):
         # A daemon is lost during the outage, and restarts after it.
-        self.running.faults(down=True)
+        self.running.set_faults(down=True)
         vm = self.pick_vm()
         vm.daemon_process.send_signal(signal.SIGKILL)
         vm.daemon_process.wait()
         time.sleep(OUTAGE_S)
-        self.running.faults(down=False)
+        self.running.set_faults(down=False)
         self.running.start_daemon(vm)
 
     def lose_answers(self):
-        self.running.faults(lose_answers=0.7)
+        self.running.set_faults(lose_answers=0.7)
         time.sleep(1.0)
-        self.running.faults(lose_answers=0.0)
+        self.running.set_faults(lose_answers=0.0)
 
     def drain_daemon(self):
         vm = self.pick_vm()
@@ -101,7 +101,7 @@
     def edit_policy(self):
         weight = self.rng.randrange(50, 150)
         key = "policy/seats/north"
-        table = self.running.table
+        table = self.running.table_address
         control.set_policy(table, key, {"weight": weight}, "test", None)
         self.edits[key] = weight
 
@@ -109,8 +109,8 @@
 def weights_in_force(running):
     """Returns the weight of seats in the north, as each daemon applies it."""
     weights = {}
-    for vm in running.places:
-        rows = cluster.call(vm.http, "GET", "/owners?service=seats")[1]
+    for vm in running.vms:
+        rows = cluster.call(vm.http_address, "GET", "/owners?service=seats")[1]
         for row in reports.decode_owners(rows):
             if row.data_centre == "north":
                 weights[vm.name] = {"policy/seats/north": row.weight}
@@ -121,14 +121,17 @@
 def test_every_promise_holds_under_faults(tmp_path, seed):
     running = clusters.small_cluster(tmp_path)
     sequence = FaultSequence(running, seed)
-    callers = load.Load(running, LOAD_DURATION_S, REQUESTS_PER_S, seed)
+    callers = load.LoadGenerator(running, LOAD_DURATION_S, REQUESTS_PER_S, seed)
     try:
         fault_thread = threading.Thread(target=sequence.run)
         fault_thread.start()
         callers.run()
         fault_thread.join()
-        assert running.ready(clusters.READY_TIMEOUT_S, even=False) is not None
-        evidence = judge.Evidence(
+        assert (
+            running.wait_until_ready(clusters.READY_TIMEOUT_S, balanced=False)
+            is not None
+        )
+        evidence = checker.History(
             callers.results,
             running.runs(),
             sequence.left,
@@ -140,7 +143,9 @@
         sequence.stopping.set()
         running.stop()
     violations = {
-        name: found for name, found in judge.judge(evidence).items() if found
+        name: found
+        for name, found in checker.find_violations(evidence).items()
+        if found
     }
     assert violations == {}
     answered = [r for r in callers.results if r.verdict == "answered"]
