--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -53,7 +53,7 @@
     (
         "wrong_answers",
         [make_run()],
-        {"results": [make_result(wrong="not whole")]},
+        {"results": [make_result(answer_error="not whole")]},
     ),
     (
         "ran_though_not",
