--- a/bench/datapath.py
+++ b/bench/datapath.py
@@ -140,7 +140,7 @@
 def _router_paths(
     found: platformcluster.PlatformCluster, bare: int, seconds: float
 ) -> list[table.Row]:
-    entry, owner = found.nodes
+    entry, owner = found.vms
     owner.server.work_s = 0.0
     path = "/browse/x"
     if not platformcluster.wait_until(
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -20,72 +20,72 @@
     """What faults act on.
 
     Attributes:
-        cluster: The store and the nodes.
-        store_proxies: Each node's way to the store.
-        target_proxies: Each node's way to its target.
-        start_server: Starts the next life of a node's server.
-        rng: Picks nodes and times.
+        cluster: The store and the vms.
+        store_proxies: Each vm's way to the store.
+        target_proxies: Each vm's way to its target.
+        start_server: Starts the next life of a vm's server.
+        rng: Picks vms and times.
         config_version: Last version of the configuration that was written.
     """
 
     cluster: platformcluster.PlatformCluster
     store_proxies: dict[str, proxy.Proxy]
     target_proxies: dict[str, proxy.Proxy]
-    start_server: Callable[[platformcluster.Node], None]
+    start_server: Callable[[platformcluster.VM], None]
     rng: random.Random
     config_version: int = 1
 
 
-def kill(context: FaultContext, node: platformcluster.Node) -> None:
+def kill(context: FaultContext, vm: platformcluster.VM) -> None:
     """Kills a daemon beside its living server, and starts it again."""
-    node.kill()
+    vm.kill()
     time.sleep(context.rng.uniform(0.0, 2.0))
-    node.start()
+    vm.start()
 
 
-def kill_all(context: FaultContext, node: platformcluster.Node) -> None:
+def kill_all(context: FaultContext, vm: platformcluster.VM) -> None:
     """Kills all daemons at once."""
-    del node
-    for each in context.cluster.nodes:
+    del vm
+    for each in context.cluster.vms:
         each.kill()
     time.sleep(context.rng.uniform(0.0, 1.0))
-    for each in context.cluster.nodes:
+    for each in context.cluster.vms:
         each.start()
 
 
-def pause(context: FaultContext, node: platformcluster.Node) -> None:
+def pause(context: FaultContext, vm: platformcluster.VM) -> None:
     """Stops a daemon, past its lease at times, and lets it go on."""
-    node.process.send_signal(signal.SIGSTOP)
+    vm.process.send_signal(signal.SIGSTOP)
     time.sleep(context.rng.uniform(0.1, 3.0))
-    node.process.send_signal(signal.SIGCONT)
+    vm.process.send_signal(signal.SIGCONT)
 
 
-def restart(context: FaultContext, node: platformcluster.Node) -> None:
+def restart(context: FaultContext, vm: platformcluster.VM) -> None:
     """Asks a daemon to end, and starts it again."""
     del context
-    node.process.send_signal(signal.SIGTERM)
-    node.process.wait(timeout=20)
-    node.start()
+    vm.process.send_signal(signal.SIGTERM)
+    vm.process.wait(timeout=20)
+    vm.start()
 
 
-def crash_server(context: FaultContext, node: platformcluster.Node) -> None:
+def crash_server(context: FaultContext, vm: platformcluster.VM) -> None:
     """Ends a server without a word; its next life comes later."""
-    node.server.stop()
+    vm.server.stop()
     time.sleep(context.rng.uniform(0.1, 2.0))
-    context.start_server(node)
+    context.start_server(vm)
 
 
-def replace_server(context: FaultContext, node: platformcluster.Node) -> None:
+def replace_server(context: FaultContext, vm: platformcluster.VM) -> None:
     """Lets a server leave, and starts another at its address."""
-    node.server.state = "draining"
-    node.server.send_heartbeat()
+    vm.server.state = "draining"
+    vm.server.send_heartbeat()
     time.sleep(2.5)
-    crash_server(context, node)
+    crash_server(context, vm)
 
 
-def store_down(context: FaultContext, node: platformcluster.Node) -> None:
+def store_down(context: FaultContext, vm: platformcluster.VM) -> None:
     """Lets the store refuse, or answer nobody."""
-    del node
+    del vm
     store = context.cluster.store
     if context.rng.random() < 0.5:
         store.failure_status = 503
@@ -96,11 +96,9 @@
     store.is_unresponsive = False
 
 
-def drop_store_history(
-    context: FaultContext, node: platformcluster.Node
-) -> None:
+def drop_store_history(context: FaultContext, vm: platformcluster.VM) -> None:
     """Lets the store drop its history."""
-    del node
+    del vm
     context.cluster.store.forget_history()
 
 
@@ -128,25 +126,19 @@
     link.mode = proxy.Mode.PASS
 
 
-def disrupt_store_link(
-    context: FaultContext, node: platformcluster.Node
-) -> None:
-    """Harms one node's way to the store."""
-    _harm(context, context.store_proxies[node.name], _STORE_DELAY_S, 0.3, 4.0)
+def disrupt_store_link(context: FaultContext, vm: platformcluster.VM) -> None:
+    """Harms one vm's way to the store."""
+    _harm(context, context.store_proxies[vm.name], _STORE_DELAY_S, 0.3, 4.0)
 
 
-def disrupt_target_link(
-    context: FaultContext, node: platformcluster.Node
-) -> None:
+def disrupt_target_link(context: FaultContext, vm: platformcluster.VM) -> None:
     """Harms a daemon's way to its own target."""
-    _harm(context, context.target_proxies[node.name], _TARGET_DELAY_S, 0.1, 1.5)
+    _harm(context, context.target_proxies[vm.name], _TARGET_DELAY_S, 0.1, 1.5)
 
 
-def change_configuration(
-    context: FaultContext, node: platformcluster.Node
-) -> None:
+def change_configuration(context: FaultContext, vm: platformcluster.VM) -> None:
     """Writes the next version of the configuration."""
-    del node
+    del vm
     context.config_version += context.rng.randint(1, 3)
     extra = platformcluster.route(
         "x", "x.example", f"/{context.config_version}/", "seats"
@@ -160,8 +152,8 @@
     )
 
 
-# Injects itself at a node, and ends once it has been taken back.
-Fault = Callable[[FaultContext, platformcluster.Node], None]
+# Injects itself at a vm, and ends once it has been taken back.
+Fault = Callable[[FaultContext, platformcluster.VM], None]
 
 ALL: tuple[Fault, ...] = (
     kill,
--- a/soak/run.py
+++ b/soak/run.py
@@ -14,7 +14,7 @@
 from soak import checker, faults, proxy
 from standins import platformcluster, ports
 
-_NODES = (
+_VMS = (
     ("north", "seats", False),
     ("south", "seats", False),
     ("east", "money", True),
@@ -61,7 +61,7 @@
     def __init__(self, folder: pathlib.Path, seed: int) -> None:
         self.rng = random.Random(seed)
         self.checker = checker.InvariantChecker()
-        self.cluster = platformcluster.PlatformCluster(folder, _NODES)
+        self.cluster = platformcluster.PlatformCluster(folder, _VMS)
         self.fault_log: list[str] = []
         self._ids = itertools.count(1)
         self._ended = threading.Event()
@@ -69,11 +69,11 @@
         self._proxies: list[proxy.Proxy] = []
         store_proxies = {}
         target_proxies = {}
-        for node in self.cluster.nodes:
-            store_proxies[node.name] = self._proxy(node.store_address)
-            node.store_address = self._last
-            target_proxies[node.name] = self._proxy(node.server_address)
-            node.target_address = self._last
+        for vm in self.cluster.vms:
+            store_proxies[vm.name] = self._proxy(vm.store_address)
+            vm.store_address = self._last
+            target_proxies[vm.name] = self._proxy(vm.server_address)
+            vm.target_address = self._last
         self.context = faults.FaultContext(
             self.cluster,
             store_proxies,
@@ -90,14 +90,14 @@
         self._proxies.append(found)
         return found
 
-    def start_server(self, node: platformcluster.Node) -> None:
-        node.start_server()
-        self.checker.add_server(node.server)
+    def start_server(self, vm: platformcluster.VM) -> None:
+        vm.start_server()
+        self.checker.add_server(vm.server)
 
     def start(self) -> None:
         self.cluster.start()
-        for node in self.cluster.nodes:
-            self.checker.add_server(node.server)
+        for vm in self.cluster.vms:
+            self.checker.add_server(vm.server)
         if not platformcluster.wait_until(_READY_S, self._works):
             raise TimeoutError("the cluster does not serve everything")
 
@@ -109,26 +109,26 @@
 
     def play(self, seconds: float) -> None:
         """Runs callers and faults, which overlap, for a time."""
-        for node in self.cluster.nodes:
+        for vm in self.cluster.vms:
             for _ in range(_CALLERS_A_PLACE):
                 threading.Thread(
-                    target=self._call, args=(node,), daemon=True
+                    target=self._call, args=(vm,), daemon=True
                 ).start()
         end = time.monotonic() + seconds
         going: dict[str, threading.Thread] = {}
         while time.monotonic() < end:
             time.sleep(self.rng.uniform(0.1, 1.5))
             fault = self.rng.choice(faults.ALL)
-            node = self.rng.choice(self.cluster.nodes)
-            names = {node.name}
+            vm = self.rng.choice(self.cluster.vms)
+            names = {vm.name}
             if fault is faults.kill_all:
-                names = {each.name for each in self.cluster.nodes}
-            # One thing at a time is done to each node's processes.
+                names = {each.name for each in self.cluster.vms}
+            # One thing at a time is done to each vm's processes.
             if any(name in going and going[name].is_alive() for name in names):
                 continue
-            self._note(f"{fault.__name__} {node.name}")
+            self._note(f"{fault.__name__} {vm.name}")
             thread = threading.Thread(
-                target=self._inject, args=(fault, node), daemon=True
+                target=self._inject, args=(fault, vm), daemon=True
             )
             thread.start()
             going.update(dict.fromkeys(names, thread))
@@ -146,22 +146,22 @@
             return self.cluster.serves_all_routes()
         return False
 
-    def _inject(self, fault: faults.Fault, node: platformcluster.Node) -> None:
+    def _inject(self, fault: faults.Fault, vm: platformcluster.VM) -> None:
         try:
-            fault(self.context, node)
+            fault(self.context, vm)
         except Exception:  # noqa: BLE001
             # A fault that can't be injected makes the run worthless.
             self.checker.violations.append(traceback.format_exc())
-        self._note(f"{fault.__name__} {node.name} ends")
+        self._note(f"{fault.__name__} {vm.name} ends")
 
     def _note(self, text: str) -> None:
         at = time.monotonic() - self._begun
         self.fault_log.append(f"{at:7.3f} {text}")
 
-    def _call(self, node: platformcluster.Node) -> None:
+    def _call(self, vm: platformcluster.VM) -> None:
         """Asks again and again, on a connection that is kept while it works."""
         rng = random.Random(self.rng.random())
-        link = http.client.HTTPConnection(node.caller_address, timeout=3)
+        link = http.client.HTTPConnection(vm.caller_address, timeout=3)
         while not self._ended.is_set():
             time.sleep(rng.uniform(0, 2 * _PAUSE_S))
             request = f"s{next(self._ids):07d}"
@@ -183,9 +183,7 @@
                 status, answer = found.status, found.headers
             except (OSError, http.client.HTTPException):
                 link.close()
-                link = http.client.HTTPConnection(
-                    node.caller_address, timeout=3
-                )
+                link = http.client.HTTPConnection(vm.caller_address, timeout=3)
             self.checker.record_exchange(
                 checker.Exchange(
                     request,
@@ -204,7 +202,7 @@
 
     Args:
         folder: Takes settings and logs.
-        seed: Of nodes, faults and times.
+        seed: Of vms, faults and times.
         seconds: How long faults are injected.
     """
     soak = _Soak(folder, seed)
--- a/standins/platformcluster.py
+++ b/standins/platformcluster.py
@@ -13,7 +13,7 @@
 
 from standins import appserver, httpd, ports, rowstore
 
-PORTS_PER_NODE = 6
+PORTS_PER_VM = 6
 # Moves and new epochs follow each other faster than this.
 STORE_IDLE_S = 2.0
 LIMITS = {
@@ -73,7 +73,7 @@
 )
 
 
-class Node:
+class VM:
     """One VM: a server and the daemon beside it."""
 
     def __init__(self, cluster, name, service_name, keyed):
@@ -81,9 +81,9 @@
         self.name = name
         self.service = service_name
         self.keyed = keyed
-        base = ports.free_ports(PORTS_PER_NODE, cluster.next_port())
-        cluster.reserve_ports_below(base + PORTS_PER_NODE)
-        own = [f"127.0.0.1:{base + index}" for index in range(PORTS_PER_NODE)]
+        base = ports.free_ports(PORTS_PER_VM, cluster.next_port())
+        cluster.reserve_ports_below(base + PORTS_PER_VM)
+        own = [f"127.0.0.1:{base + index}" for index in range(PORTS_PER_VM)]
         (
             self.caller_address,
             self.peer_address,
@@ -167,9 +167,9 @@
 
 
 class PlatformCluster:
-    """A store and some nodes."""
+    """A store and some vms."""
 
-    def __init__(self, folder, nodes):
+    def __init__(self, folder, vms):
         self.folder = folder
         self._port = 25_000
         self.store = rowstore.RowStore()
@@ -180,20 +180,19 @@
             self.store_address, self.store.handle_request
         )
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
-        self.nodes = [Node(self, *node) for node in nodes]
+        self.vms = [VM(self, *vm) for vm in vms]
 
     def serves_all_routes(self):
         """Returns whether all daemons are ready and serve everything."""
-        if not all(node.is_ready() for node in self.nodes):
+        if not all(vm.is_ready() for vm in self.vms):
             return False
         return all(
-            send_caller_request(node, "money.example", "/pay", key=key)[0]
-            == 200
-            for node in self.nodes
+            send_caller_request(vm, "money.example", "/pay", key=key)[0] == 200
+            for vm in self.vms
             for key in (0, 20_000, 40_000, 65_535)
         ) and all(
-            send_caller_request(node, "seats.example", "/browse/x")[0] == 200
-            for node in self.nodes
+            send_caller_request(vm, "seats.example", "/browse/x")[0] == 200
+            for vm in self.vms
         )
 
     def is_store_idle(self):
@@ -213,25 +212,25 @@
     def start(self):
         """Starts all servers and daemons."""
         self.store.put("op", "config", configuration(1, *DEFAULT_RESOURCES))
-        for node in self.nodes:
-            node.start_server()
-            node.start()
+        for vm in self.vms:
+            vm.start_server()
+            vm.start()
 
     def stop(self):
         """Ends everything that was started here."""
-        for node in self.nodes:
-            if node.process is not None and node.process.poll() is None:
-                node.kill()
-            if node.server is not None:
-                node.server.stop()
+        for vm in self.vms:
+            if vm.process is not None and vm.process.poll() is None:
+                vm.kill()
+            if vm.server is not None:
+                vm.server.stop()
         self._server.shutdown()
         self._server.server_close()
 
 
 @contextlib.contextmanager
-def run_cluster(folder, nodes, ready_s):
+def run_cluster(folder, vms, ready_s):
     """Runs a cluster; raises TimeoutError if it does not work in time."""
-    found = PlatformCluster(folder, nodes)
+    found = PlatformCluster(folder, vms)
     found.start()
     try:
         if not wait_until(ready_s, found.serves_all_routes):
@@ -256,7 +255,7 @@
 
 
 def send_caller_request(
-    node, host, path, key=None, method="GET", body=None, timeout_ms=1500
+    vm, host, path, key=None, method="GET", body=None, timeout_ms=1500
 ):
     """Returns status, headers, body and id of a client's request."""
     request = f"r{next(_ids):06d}"
@@ -268,7 +267,7 @@
     if key is not None:
         headers["X-Tamarackgap-Shard-Key"] = str(key)
     return (
-        *send_request(node.caller_address, method, path, headers, body),
+        *send_request(vm.caller_address, method, path, headers, body),
         request,
     )
 
--- a/tests/platform/test_operations.py
+++ b/tests/platform/test_operations.py
@@ -40,8 +40,8 @@
 def _lines(cluster, event, **fields):
     """Returns the fields of each log line of an event, of all daemons."""
     lines = []
-    for node in cluster.nodes:
-        for line in node.log.read_text(errors="replace").splitlines():
+    for vm in cluster.vms:
+        for line in vm.log.read_text(errors="replace").splitlines():
             pairs = dict(re.findall(r'(\w+)=("[^"]*"|\S*)', line))
             if pairs.get("event") == event and all(
                 pairs.get(name) == value for name, value in fields.items()
@@ -64,14 +64,14 @@
 
 
 def test_refused_as_full(cluster):
-    north = cluster.nodes[0]
+    north = cluster.vms[0]
     north.server.work_s = 0.4
     try:
         with concurrent.futures.ThreadPoolExecutor(40) as pool:
             answers = list(
                 pool.map(
                     lambda _: platformcluster.send_caller_request(
-                        cluster.nodes[1],
+                        cluster.vms[1],
                         "seats.example",
                         "/browse/x",
                         timeout_ms=600,
@@ -98,13 +98,11 @@
 
 def test_answered_502_after_it_may_have_run(cluster):
     title = "Answered 502 or 504 after it may have run"
-    owner = next(
-        node for node in cluster.nodes if node.keyed and node.server.holds(5)
-    )
+    owner = next(vm for vm in cluster.vms if vm.keyed and vm.server.holds(5))
     owner.server.fault = "cut"
     try:
         response = platformcluster.send_caller_request(
-            cluster.nodes[0], "money.example", "/pay", key=5, method="POST"
+            cluster.vms[0], "money.example", "/pay", key=5, method="POST"
         )
     finally:
         owner.server.fault = ""
@@ -126,37 +124,37 @@
 
 
 def test_operator_commands_work_on_routers(cluster):
-    node = next(node for node in cluster.nodes if node.server.holds(30_000))
-    code, status = _run("status", "--daemon", node.metrics_address)
+    vm = next(vm for vm in cluster.vms if vm.server.holds(30_000))
+    code, status = _run("status", "--daemon", vm.metrics_address)
     assert code == 0
-    assert (status["daemon"], status["phase"]) == (node.name, "serving")
+    assert (status["daemon"], status["phase"]) == (vm.name, "serving")
     code, explanation = _run(
         "explain",
         "30000",
         "--daemon",
-        node.metrics_address,
+        vm.metrics_address,
         "--service",
         "money",
     )
     assert code == 0
-    assert (explanation["daemon"], explanation["here"]) == (node.name, True)
-    other = cluster.nodes[0].metrics_address
+    assert (explanation["daemon"], explanation["here"]) == (vm.name, True)
+    other = cluster.vms[0].metrics_address
     explanation = _run(
         "explain", "30000", "--daemon", other, "--service", "money"
     )[1]
-    assert (explanation["daemon"], explanation["here"]) == (node.name, False)
+    assert (explanation["daemon"], explanation["here"]) == (vm.name, False)
     code, rows = _run("owners", "--daemon", other, "--service", "money")
     assert code == 0
     owned = {row["daemon"]: row["slots"] for row in rows if row["slots"]}
     assert sum(owned.values()) == 32
-    assert node.name in owned
+    assert vm.name in owned
 
 
 @pytest.mark.parametrize("key", ["70000", "x"])
 def test_an_invalid_key_is_reported_in_one_line(cluster, key):
     words = ["explain", key, "--service", "money", "--daemon"]
     invocation = testing.CliRunner().invoke(
-        cmdline.cli, [*words, cluster.nodes[0].metrics_address]
+        cmdline.cli, [*words, cluster.vms[0].metrics_address]
     )
     assert invocation.exit_code != 0
     assert len(invocation.output.splitlines()) == 1
@@ -165,14 +163,12 @@
 def test_a_key_without_an_owner_during_a_takeover(cluster):
     title = "A key without an owner"
     owner = next(
-        node
-        for node in cluster.nodes
-        if node.keyed and node.server.holds(30_000)
+        vm for vm in cluster.vms if vm.keyed and vm.server.holds(30_000)
     )
     owner.kill()
     time.sleep(0.3)
     response = platformcluster.send_caller_request(
-        cluster.nodes[0],
+        cluster.vms[0],
         "money.example",
         "/pay",
         key=30_000,
@@ -191,7 +187,7 @@
         _logged(cluster, "takeover_begun", owner=lost_owner)
         takeovers = _logged(cluster, "taken_over", owner=lost_owner)
         assert {takeover["daemon"] for takeover in takeovers} <= {
-            node.name for node in cluster.nodes if node.keyed
+            vm.name for vm in cluster.vms if vm.keyed
         }
     finally:
         owner.start()
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -41,16 +41,16 @@
 
 def _runs(cluster, request):
     return [
-        (node.name, key)
-        for node in cluster.nodes
-        for ran, key in node.server.executed_requests
+        (vm.name, key)
+        for vm in cluster.vms
+        for ran, key in vm.server.executed_requests
         if ran == request
     ]
 
 
 def test_a_request_is_passed_on_and_answered_unchanged(cluster):
     status, headers, body, request = platformcluster.send_caller_request(
-        cluster.nodes[2],
+        cluster.vms[2],
         "seats.example",
         "/book/hall?seat=7",
         method="POST",
@@ -69,20 +69,18 @@
 
 def test_each_key_runs_at_the_server_that_holds_it(cluster):
     for key in range(0, 65_536, 5000):
-        holders = [
-            node.name for node in cluster.nodes if node.server.holds(key)
-        ]
+        holders = [vm.name for vm in cluster.vms if vm.server.holds(key)]
         assert len(holders) == 1
-        for node in cluster.nodes:
+        for vm in cluster.vms:
             request = platformcluster.send_caller_request(
-                node, "money.example", "/pay", key=key
+                vm, "money.example", "/pay", key=key
             )[3]
             assert _runs(cluster, request) == [(holders[0], key)]
 
 
 def test_metrics_are_served(cluster):
     status, headers, body = platformcluster.send_request(
-        cluster.nodes[2].metrics_address, "GET", "/metrics"
+        cluster.vms[2].metrics_address, "GET", "/metrics"
     )
     assert status == 200
     text = body.decode()
@@ -99,20 +97,20 @@
 def test_a_path_without_route_is_not_found(cluster):
     assert (
         platformcluster.send_caller_request(
-            cluster.nodes[0], "seats.example", "/none/x"
+            cluster.vms[0], "seats.example", "/none/x"
         )[0]
         == 404
     )
     assert (
         platformcluster.send_caller_request(
-            cluster.nodes[0], "nowhere.example", "/x"
+            cluster.vms[0], "nowhere.example", "/x"
         )[0]
         == 404
     )
 
 
 def test_a_request_without_id_is_bad(cluster):
-    address = cluster.nodes[0].caller_address
+    address = cluster.vms[0].caller_address
     headers = {"Host": "seats.example"}
     assert (
         platformcluster.send_request(address, "GET", "/browse/x", headers)[0]
@@ -122,7 +120,7 @@
 
 def test_a_key_out_of_range_is_bad(cluster):
     response = platformcluster.send_caller_request(
-        cluster.nodes[0], "money.example", "/pay", key=70_000
+        cluster.vms[0], "money.example", "/pay", key=70_000
     )
     assert response[0] == 400
 
@@ -142,15 +140,15 @@
     def moved():
         return all(
             platformcluster.send_caller_request(
-                node, "seats.example", "/browse/vip/x", key=1
+                vm, "seats.example", "/browse/vip/x", key=1
             )[1].get("x-tamarackgap-response-signature")
             and _runs_at_money(cluster)
-            for node in cluster.nodes
+            for vm in cluster.vms
         )
 
     def _runs_at_money(cluster):
         request = platformcluster.send_caller_request(
-            cluster.nodes[0], "seats.example", "/browse/vip/x", key=1
+            cluster.vms[0], "seats.example", "/browse/vip/x", key=1
         )[3]
         runs = _runs(cluster, request)
         return bool(runs) and runs[0][1] == 1
@@ -160,7 +158,7 @@
     cluster.store.put("op", "config", platformcluster.configuration(3))
     assert (
         platformcluster.send_caller_request(
-            cluster.nodes[0], "seats.example", "/browse/x"
+            cluster.vms[0], "seats.example", "/browse/x"
         )[0]
         == 200
     )
@@ -172,71 +170,71 @@
 
 
 def test_an_idempotent_request_is_run_again_after_a_failure(cluster):
-    cluster.nodes[0].server.fault = "cut"
+    cluster.vms[0].server.fault = "cut"
     try:
         answers = [
             platformcluster.send_caller_request(
-                cluster.nodes[1], "seats.example", "/browse/x"
+                cluster.vms[1], "seats.example", "/browse/x"
             )[0]
             for _ in range(10)
         ]
     finally:
-        cluster.nodes[0].server.fault = ""
+        cluster.vms[0].server.fault = ""
     assert answers.count(200) >= 9
 
 
 @pytest.mark.parametrize("fault", ["cut", "unsigned"])
 def test_a_request_that_may_have_run_is_not_repeated(cluster, fault):
-    for node in cluster.nodes[:2]:
-        node.server.fault = fault
+    for vm in cluster.vms[:2]:
+        vm.server.fault = fault
     try:
         status, _, _, request = platformcluster.send_caller_request(
-            cluster.nodes[0], "seats.example", "/book/x", method="POST"
+            cluster.vms[0], "seats.example", "/book/x", method="POST"
         )
     finally:
-        for node in cluster.nodes[:2]:
-            node.server.fault = ""
+        for vm in cluster.vms[:2]:
+            vm.server.fault = ""
     assert status == 502
     assert len(_runs(cluster, request)) == 1
 
 
 def test_a_refusal_has_a_retry_after_header(cluster):
-    for node in cluster.nodes[:2]:
-        node.server.fault = "full"
+    for vm in cluster.vms[:2]:
+        vm.server.fault = "full"
     try:
         status, headers, _, request = platformcluster.send_caller_request(
-            cluster.nodes[0], "seats.example", "/book/x", method="POST"
+            cluster.vms[0], "seats.example", "/book/x", method="POST"
         )
     finally:
-        for node in cluster.nodes[:2]:
-            node.server.fault = ""
+        for vm in cluster.vms[:2]:
+            vm.server.fault = ""
     assert status == 503
     assert float(headers["retry-after"]) > 0
     assert _runs(cluster, request) == []
 
 
 def test_malformed_bytes_get_400_and_the_daemon_goes_on(cluster):
-    host, port = cluster.nodes[0].caller_address.split(":")
+    host, port = cluster.vms[0].caller_address.split(":")
     with socket.create_connection((host, int(port)), timeout=5) as sock:
         sock.sendall(b"nonsense\r\n\r\n")
         assert sock.recv(100).startswith(b"HTTP/1.1 400")
     assert (
         platformcluster.send_caller_request(
-            cluster.nodes[0], "seats.example", "/browse/x"
+            cluster.vms[0], "seats.example", "/browse/x"
         )[0]
         == 200
     )
 
 
 def test_a_slow_request_is_timed_out(cluster):
-    host, port = cluster.nodes[0].caller_address.split(":")
+    host, port = cluster.vms[0].caller_address.split(":")
     with socket.create_connection((host, int(port)), timeout=5) as sock:
         sock.sendall(b"GET /browse/x HTTP/1.1\r\nHost: se")
         assert sock.recv(100).startswith(b"HTTP/1.1 408")
 
 
 def test_pipelined_requests_are_answered_in_order(cluster):
-    host, port = cluster.nodes[0].caller_address.split(":")
+    host, port = cluster.vms[0].caller_address.split(":")
     template = (
         b"GET /browse/%d HTTP/1.1\r\nHost: seats.example\r\n"
         b"X-Tamarackgap-Attempt-Id: pipe%d\r\n"
@@ -251,11 +249,11 @@
 
 
 def test_keys_of_a_killed_daemon_are_served_and_it_rejoins(cluster):
-    node = cluster.nodes[2]
-    keys = [key for key in range(0, 65_536, 1000) if node.server.holds(key)]
+    vm = cluster.vms[2]
+    keys = [key for key in range(0, 65_536, 1000) if vm.server.holds(key)]
     assert keys
-    node.kill()
-    others = [other for other in cluster.nodes if other is not node]
+    vm.kill()
+    others = [other for other in cluster.vms if other is not vm]
 
     def served():
         return all(
@@ -267,13 +265,13 @@
         )
 
     assert platformcluster.wait_until(TAKEOVER_S, served)
-    node.start()
+    vm.start()
     assert platformcluster.wait_until(
         READY_S,
         lambda: (
-            node.is_ready()
+            vm.is_ready()
             and platformcluster.send_caller_request(
-                node, "money.example", "/pay", key=1
+                vm, "money.example", "/pay", key=1
             )[0]
             == 200
         ),
@@ -281,36 +279,36 @@
 
 
 def test_daemons_serve_again_after_all_were_killed(cluster):
-    for node in cluster.nodes:
-        node.kill()
-    for node in cluster.nodes:
-        node.start()
+    for vm in cluster.vms:
+        vm.kill()
+    for vm in cluster.vms:
+        vm.start()
     assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
 
 
 def test_a_restarted_server_is_used_again(cluster):
-    node = cluster.nodes[3]
-    node.server.stop()
-    node.start_server()
+    vm = cluster.vms[3]
+    vm.server.stop()
+    vm.start_server()
     assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
     assert platformcluster.wait_until(
         READY_S,
-        lambda: any(node.server.holds(key) for key in range(0, 65_536, 500)),
+        lambda: any(vm.server.holds(key) for key in range(0, 65_536, 500)),
     )
 
 
 def test_a_request_that_crashes_servers_is_barred_after_two(cluster):
-    nodes = [node for node in cluster.nodes if node.service == "seats"]
+    vms = [vm for vm in cluster.vms if vm.service == "seats"]
     path = "/browse/deadly"
     servers = []
 
     def restart_crashed():
-        for node in nodes:
-            if node.server.is_stopped:
-                node.start_server()
-            if node.server not in servers:
-                servers.append(node.server)
-            node.server.crash_path = path
+        for vm in vms:
+            if vm.server.is_stopped:
+                vm.start_server()
+            if vm.server not in servers:
+                servers.append(vm.server)
+            vm.server.crash_path = path
         return cluster.serves_all_routes()
 
     def crash_count():
@@ -320,23 +318,23 @@
         assert platformcluster.wait_until(READY_S, restart_crashed)
         for _ in range(6):
             platformcluster.send_caller_request(
-                cluster.nodes[2], "seats.example", path
+                cluster.vms[2], "seats.example", path
             )
             # The daemon detects the crash by a refused connection.
             assert platformcluster.wait_until(READY_S, restart_crashed)
         assert crash_count() == 2
         response = platformcluster.send_caller_request(
-            cluster.nodes[3], "seats.example", path
+            cluster.vms[3], "seats.example", path
         )
         assert response[0] == 503
         assert float(response[1]["retry-after"]) > 1
         other = platformcluster.send_caller_request(
-            cluster.nodes[3], "seats.example", "/browse/x"
+            cluster.vms[3], "seats.example", "/browse/x"
         )
         assert other[0] == 200
     finally:
-        for node in nodes:
-            node.server.crash_path = ""
+        for vm in vms:
+            vm.server.crash_path = ""
 
 
 def test_requests_are_served_while_the_store_fails(cluster):
@@ -345,9 +343,9 @@
     assert platformcluster.wait_until(READY_S, cluster.is_store_idle)
     cluster.store.failure_status = 503
     try:
-        for node in cluster.nodes:
+        for vm in cluster.vms:
             response = platformcluster.send_caller_request(
-                node, "money.example", "/pay", key=30_000
+                vm, "money.example", "/pay", key=30_000
             )
             assert response[0] == 200
     finally:
@@ -356,27 +354,27 @@
 
 def test_a_draining_server_gets_no_work_while_the_store_is_silent(cluster):
     assert platformcluster.wait_until(READY_S, cluster.is_store_idle)
-    node = cluster.nodes[4]
-    keys = [key for key in range(0, 65_536, 500) if node.server.holds(key)]
+    vm = cluster.vms[4]
+    keys = [key for key in range(0, 65_536, 500) if vm.server.holds(key)]
     assert keys
     cluster.store.is_unresponsive = True
     try:
-        node.server.state = "draining"
-        assert node.server.send_heartbeat()
+        vm.server.state = "draining"
+        assert vm.server.send_heartbeat()
         time.sleep(SERVER_DRAIN_S)
-        ran_before = len(node.server.executed_requests)
+        ran_before = len(vm.server.executed_requests)
         statuses = [
             platformcluster.send_caller_request(
-                cluster.nodes[0], "money.example", "/pay", key=key
+                cluster.vms[0], "money.example", "/pay", key=key
             )[0]
             for key in keys
         ]
-        assert len(node.server.executed_requests) == ran_before
+        assert len(vm.server.executed_requests) == ran_before
         assert statuses.count(200) == len(keys)
     finally:
         cluster.store.is_unresponsive = False
-        node.server.stop()
-        node.start_server()
+        vm.server.stop()
+        vm.start_server()
     assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
 
 
@@ -390,44 +388,44 @@
     assert platformcluster.wait_until(
         READY_S,
         lambda: all(
-            "version=20" in "".join(node.log_lines("route_table_in_force"))
-            for node in cluster.nodes
+            "version=20" in "".join(vm.log_lines("route_table_in_force"))
+            for vm in cluster.vms
         ),
     )
 
 
 def test_a_target_is_used_while_its_daemon_drains(cluster):
     assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
-    node = cluster.nodes[1]
-    node.process.send_signal(signal.SIGTERM)
-    assert platformcluster.wait_until(1, lambda: not node.is_ready())
-    ran_before = len(node.server.executed_requests)
+    vm = cluster.vms[1]
+    vm.process.send_signal(signal.SIGTERM)
+    assert platformcluster.wait_until(1, lambda: not vm.is_ready())
+    ran_before = len(vm.server.executed_requests)
     # Enough concurrent calls that using both targets is faster than one.
     with concurrent.futures.ThreadPoolExecutor(20) as pool:
         answers = list(
             pool.map(
                 lambda _: platformcluster.send_caller_request(
-                    cluster.nodes[3], "seats.example", "/browse/x"
+                    cluster.vms[3], "seats.example", "/browse/x"
                 ),
                 range(40),
             )
         )
     assert [answer[0] for answer in answers] == [200] * 40
-    assert len(node.server.executed_requests) > ran_before
-    assert node.process.wait(timeout=6) == 0
-    node.start()
+    assert len(vm.server.executed_requests) > ran_before
+    assert vm.process.wait(timeout=6) == 0
+    vm.start()
     assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
 
 
 def test_calls_in_progress_at_a_draining_daemon_are_answered(cluster):
     assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
     # Each target has room for all calls, however they are distributed.
-    for each in cluster.nodes[:2]:
+    for each in cluster.vms[:2]:
         each.server.slots = CALL_COUNT
         each.server.work_s = 1.2
     time.sleep(ANNOUNCEMENT_DELAY_S)
     calls_begun_at = []
-    for each in cluster.nodes[:2]:
+    for each in cluster.vms[:2]:
         each.server.on_run_started = lambda server, *_: calls_begun_at.append(
             server
         )
@@ -436,7 +434,7 @@
             answers = [
                 pool.submit(
                     platformcluster.send_caller_request,
-                    cluster.nodes[3],
+                    cluster.vms[3],
                     "seats.example",
                     "/book/x",
                     method="POST",
@@ -447,16 +445,16 @@
             assert platformcluster.wait_until(
                 0.5, lambda: len(calls_begun_at) > CALL_COUNT / 2
             )
-            node = max(
-                cluster.nodes[:2],
-                key=lambda node: calls_begun_at.count(node.server),
+            vm = max(
+                cluster.vms[:2],
+                key=lambda vm: calls_begun_at.count(vm.server),
             )
-            node.process.send_signal(signal.SIGTERM)
+            vm.process.send_signal(signal.SIGTERM)
             statuses = [answer.result()[0] for answer in answers]
-        assert node.process.wait(timeout=6) == 0
-        node.start()
+        assert vm.process.wait(timeout=6) == 0
+        vm.start()
     finally:
-        for each in cluster.nodes[:2]:
+        for each in cluster.vms[:2]:
             each.server.slots = 8
             each.server.work_s = 0.005
             each.server.on_run_started = lambda *_: None
@@ -469,38 +467,34 @@
     cluster, index
 ):
     assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
-    node = cluster.nodes[index]
-    node.process.send_signal(signal.SIGTERM)
+    vm = cluster.vms[index]
+    vm.process.send_signal(signal.SIGTERM)
     # The daemon has left its lease, and has had no callers for a while.
     time.sleep(DRAIN_LISTEN_S - 0.2)
     statuses = [
-        platformcluster.send_caller_request(node, "seats.example", "/browse/x")[
-            0
-        ]
+        platformcluster.send_caller_request(vm, "seats.example", "/browse/x")[0]
         for _ in range(6)
     ]
-    assert node.process.wait(timeout=8) == 0
-    node.start()
+    assert vm.process.wait(timeout=8) == 0
+    vm.start()
     assert statuses == [200] * 6
     assert platformcluster.wait_until(READY_S, cluster.serves_all_routes)
 
 
 def test_a_daemon_that_is_told_to_stop_cuts_nothing(cluster):
-    node = cluster.nodes[0]
-    node.process.send_signal(signal.SIGTERM)
-    assert platformcluster.wait_until(1, lambda: not node.is_ready())
+    vm = cluster.vms[0]
+    vm.process.send_signal(signal.SIGTERM)
+    assert platformcluster.wait_until(1, lambda: not vm.is_ready())
     # Callers keep using the daemon until their readiness checks fail.
     assert (
-        platformcluster.send_caller_request(node, "seats.example", "/browse/x")[
-            0
-        ]
+        platformcluster.send_caller_request(vm, "seats.example", "/browse/x")[0]
         == 200
     )
-    assert node.process.wait(timeout=6) == 0
-    assert node.log_lines("stopped")
+    assert vm.process.wait(timeout=6) == 0
+    assert vm.log_lines("stopped")
     assert (
         platformcluster.send_caller_request(
-            cluster.nodes[1], "seats.example", "/browse/x"
+            cluster.vms[1], "seats.example", "/browse/x"
         )[0]
         == 200
     )
