--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real routers, with faults injected from outside."""
+"""Randomized soak test: real routers under faults injected from outside."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Plays seeds of the soak: `python -m soak --seeds 50`."""
+"""Command line of the soak: `python -m soak --seeds 50`."""
 
 import pathlib
 import random
@@ -11,22 +11,26 @@
 
 
 @click.command()
-@click.option("--seeds", default=1, help="How many runs.")
-@click.option("--first", type=int, help="First seed; drawn if left out.")
-@click.option("--seconds", default=20.0, help="Of faults, a run.")
+@click.option("--seeds", default=1, help="Number of runs.")
+@click.option("--first", type=int, help="First seed; random by default.")
+@click.option(
+    "--seconds",
+    default=20.0,
+    help="Seconds for which each run injects faults.",
+)
 def main(seeds: int, first: int | None, seconds: float) -> None:
-    """Plays seeds one after the other; logs of failed ones are kept."""
-    begin = first if first is not None else random.randrange(10**6)
+    """Runs consecutive seeds, and keeps the logs of those that fail."""
+    first_seed = first if first is not None else random.randrange(10**6)
     failed = 0
-    for seed in range(begin, begin + seeds):
+    for seed in range(first_seed, first_seed + seeds):
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         result = run.run_seed(folder, seed, seconds)
-        recovered = result.recovery_s
+        recovery_s = result.recovery_s
         click.echo(
-            f"seed {seed}: {'kept' if result.passed else 'FAILED'},"
-            f" {result.requests_sent} asked,"
-            f" {result.served_share:.3f} served, all served"
-            f" {'never' if recovered is None else f'{recovered:.1f} s'}"
+            f"seed {seed}: {'passed' if result.passed else 'FAILED'},"
+            f" {result.requests_sent} requests,"
+            f" {result.served_share:.3f} of them served, all routes served"
+            f" {'never' if recovery_s is None else f'{recovery_s:.1f} s'}"
             " after the last fault"
         )
         if not result.passed:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults that a soak injects: each begins, lasts, and is taken back."""
+"""Faults that the soak injects; each function also undoes its fault."""
 
 import random
 import signal
@@ -10,22 +10,23 @@
 from soak import proxy
 from standins import platformcluster
 
-# The product allows for this much delay on the way to its own target; a longer
-# one makes grants late, which the promises leave out.
-_TARGET_DELAY_S = 0.03
-_STORE_DELAY_S = 0.3
+# The router tolerates this delay between a daemon and its local target. A
+# longer delay makes grants late, and the guarantees do not cover late grants.
+_MAX_TARGET_DELAY_S = 0.03
+_MAX_STORE_DELAY_S = 0.3
 
 
 class FaultContext(msgspec.Struct):
-    """What faults act on.
+    """Gives faults access to the cluster and its proxies.
 
     Attributes:
-        cluster: The store and the vms.
-        store_proxies: Each vm's way to the store.
-        target_proxies: Each vm's way to its target.
-        start_server: Starts the next life of a vm's server.
-        rng: Picks vms and times.
-        config_version: Last version of the configuration that was written.
+        cluster: The cluster under test.
+        store_proxies: Proxy between each daemon and the store, by VM name.
+        target_proxies: Proxy between each daemon and its local target, by VM
+            name.
+        start_server: Starts the next incarnation of a VM's server.
+        rng: Random source for durations and choices.
+        config_version: Version of the configuration written last.
     """
 
     cluster: platformcluster.PlatformCluster
@@ -37,14 +38,14 @@
 
 
 def kill(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Kills a daemon beside its living server, and starts it again."""
+    """Kills a daemon while its server runs on, and starts it again."""
     vm.kill()
     time.sleep(context.rng.uniform(0.0, 2.0))
     vm.start()
 
 
 def kill_all(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Kills all daemons at once."""
+    """Kills all daemons at once, and starts them again."""
     del vm
     for each in context.cluster.vms:
         each.kill()
@@ -54,14 +55,14 @@
 
 
 def pause(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Stops a daemon, past its lease at times, and lets it go on."""
+    """Pauses a daemon, sometimes until its lease has expired."""
     vm.process.send_signal(signal.SIGSTOP)
     time.sleep(context.rng.uniform(0.1, 3.0))
     vm.process.send_signal(signal.SIGCONT)
 
 
 def restart(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Asks a daemon to end, and starts it again."""
+    """Terminates a daemon with SIGTERM, and starts it again."""
     del context
     vm.process.send_signal(signal.SIGTERM)
     vm.process.wait(timeout=20)
@@ -69,14 +70,14 @@
 
 
 def crash_server(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Ends a server without a word; its next life comes later."""
+    """Ends a server without notice, and starts its next incarnation."""
     vm.server.stop()
     time.sleep(context.rng.uniform(0.1, 2.0))
     context.start_server(vm)
 
 
 def replace_server(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Lets a server leave, and starts another at its address."""
+    """Drains a server, and starts its next incarnation."""
     vm.server.state = "draining"
     vm.server.send_heartbeat()
     time.sleep(2.5)
@@ -84,7 +85,7 @@
 
 
 def store_down(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Lets the store refuse, or answer nobody."""
+    """Makes the store refuse all calls, or answer none."""
     del vm
     store = context.cluster.store
     if context.rng.random() < 0.5:
@@ -97,62 +98,70 @@
 
 
 def drop_store_history(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Lets the store drop its history."""
+    """Makes the store drop its history of changes."""
     del vm
     context.cluster.store.forget_history()
 
 
-def _harm(
+def _disrupt(
     context: FaultContext,
     link: proxy.Proxy,
-    delay_s: float,
-    least_s: float,
-    most_s: float,
+    max_delay_s: float,
+    min_duration_s: float,
+    max_duration_s: float,
 ) -> None:
-    """Harms a link for a while, in one of the ways there are.
+    """Puts a proxy into a random mode other than PASS for a while.
+
+    The delay stays set afterwards; it has no effect in PASS mode.
 
     Args:
-        context: The run.
-        link: The link.
-        delay_s: Longest delay, seconds; it stays.
-        least_s: Least time for which it is harmed, seconds.
-        most_s: Longest such time, seconds.
+        context: The cluster and its random source.
+        link: The proxy.
+        max_delay_s: Longest delay in DELAY mode, seconds.
+        min_duration_s: Shortest duration of the disruption, seconds.
+        max_duration_s: Longest duration of the disruption, seconds.
     """
-    link.delay_s = context.rng.uniform(0.0, delay_s)
+    link.delay_s = context.rng.uniform(0.0, max_delay_s)
     link.mode = context.rng.choice(
         [mode for mode in proxy.Mode if mode is not proxy.Mode.PASS]
     )
-    time.sleep(context.rng.uniform(least_s, most_s))
+    time.sleep(context.rng.uniform(min_duration_s, max_duration_s))
     link.mode = proxy.Mode.PASS
 
 
 def disrupt_store_link(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Harms one vm's way to the store."""
-    _harm(context, context.store_proxies[vm.name], _STORE_DELAY_S, 0.3, 4.0)
+    """Disrupts the connections between a daemon and the store."""
+    _disrupt(
+        context, context.store_proxies[vm.name], _MAX_STORE_DELAY_S, 0.3, 4.0
+    )
 
 
 def disrupt_target_link(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Harms a daemon's way to its own target."""
-    _harm(context, context.target_proxies[vm.name], _TARGET_DELAY_S, 0.1, 1.5)
+    """Disrupts the connections between a daemon and its local target."""
+    _disrupt(
+        context, context.target_proxies[vm.name], _MAX_TARGET_DELAY_S, 0.1, 1.5
+    )
 
 
 def change_configuration(context: FaultContext, vm: platformcluster.VM) -> None:
-    """Writes the next version of the configuration."""
+    """Writes a later version of the configuration, with another route."""
     del vm
     context.config_version += context.rng.randint(1, 3)
-    extra = platformcluster.route(
+    added_route = platformcluster.route(
         "x", "x.example", f"/{context.config_version}/", "seats"
     )
     context.cluster.store.put(
         "op",
         "config",
         platformcluster.configuration(
-            context.config_version, *platformcluster.DEFAULT_RESOURCES, extra
+            context.config_version,
+            *platformcluster.DEFAULT_RESOURCES,
+            added_route,
         ),
     )
 
 
-# Injects itself at a vm, and ends once it has been taken back.
+# Injects a fault at a VM, and returns once the fault has been undone.
 Fault = Callable[[FaultContext, platformcluster.VM], None]
 
 ALL: tuple[Fault, ...] = (
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run of the soak: a cluster, callers, faults, and the result."""
+"""Runs one seed of the soak: a cluster, its callers and injected faults."""
 
 import contextlib
 import http.client
@@ -14,6 +14,7 @@
 from soak import checker, faults, proxy
 from standins import platformcluster, ports
 
+# Name, service, and whether the service is keyed.
 _VMS = (
     ("north", "seats", False),
     ("south", "seats", False),
@@ -21,26 +22,31 @@
     ("west", "money", True),
     ("centre", "money", True),
 )
-_READY_S = 40.0
-# The users' bound: served again so long after the last fault.
-_RECOVER_S = 15.0
-_TIMEOUT_MS = 1200
-_CALLERS_A_PLACE = 2
-_PAUSE_S = 0.02
-# An order may be carried out, and a run begin, so long after it was sent.
+_START_TIMEOUT_S = 40.0
+# The users require that all requests are served again within this time after
+# the last fault.
+_RECOVERY_LIMIT_S = 15.0
+_REQUEST_TIMEOUT_MS = 1200
+_CALLERS_PER_VM = 2
+# Mean pause of a caller between two requests.
+_MEAN_PAUSE_S = 0.02
+# A request that was sent to a server may still start to execute within this
+# time.
 _SETTLE_S = 2.0
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """What a run showed.
+    """The outcome of a run.
 
     Attributes:
-        violations: Broken promises.
-        requests_sent: Requests that callers sent.
-        served_share: The part of them that was answered well.
-        recovery_s: How long after the last fault all was served; None if
-            it was not within the bound.
-        fault_log: The faults, with their times.
+        violations: Violated invariants, and tracebacks of faults that could
+            not be injected.
+        requests_sent: Number of requests that callers sent.
+        served_share: Share of these requests with status 200.
+        recovery_s: Seconds after the last fault until all routes were served,
+            None if that took longer than the limit.
+        fault_log: Start and end of each fault, with seconds since the start
+            of the run.
     """
 
     violations: list[str]
@@ -51,12 +57,12 @@
 
     @property
     def passed(self) -> bool:
-        """Whether every promise was kept."""
+        """Whether no invariant was violated and the cluster recovered."""
         return not self.violations and self.recovery_s is not None
 
 
 class _Soak:
-    """A cluster with its proxies, callers and faults."""
+    """A cluster with its proxies, callers and injected faults."""
 
     def __init__(self, folder: pathlib.Path, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -64,16 +70,16 @@
         self.cluster = platformcluster.PlatformCluster(folder, _VMS)
         self.fault_log: list[str] = []
         self._ids = itertools.count(1)
-        self._ended = threading.Event()
-        self._begun = time.monotonic()
+        self._stopped = threading.Event()
+        self._started_at = time.monotonic()
         self._proxies: list[proxy.Proxy] = []
         store_proxies = {}
         target_proxies = {}
         for vm in self.cluster.vms:
-            store_proxies[vm.name] = self._proxy(vm.store_address)
-            vm.store_address = self._last
-            target_proxies[vm.name] = self._proxy(vm.server_address)
-            vm.target_address = self._last
+            store_proxies[vm.name] = self._add_proxy(vm.store_address)
+            vm.store_address = self._proxy_address
+            target_proxies[vm.name] = self._add_proxy(vm.server_address)
+            vm.target_address = self._proxy_address
         self.context = faults.FaultContext(
             self.cluster,
             store_proxies,
@@ -82,13 +88,13 @@
             self.rng,
         )
 
-    def _proxy(self, target: str) -> proxy.Proxy:
+    def _add_proxy(self, target: str) -> proxy.Proxy:
         port = ports.free_ports(1, self.cluster.next_port())
         self.cluster.reserve_ports_below(port + 1)
-        self._last = f"127.0.0.1:{port}"
-        found = proxy.Proxy(self._last, target)
-        self._proxies.append(found)
-        return found
+        self._proxy_address = f"127.0.0.1:{port}"
+        new_proxy = proxy.Proxy(self._proxy_address, target)
+        self._proxies.append(new_proxy)
+        return new_proxy
 
     def start_server(self, vm: platformcluster.VM) -> None:
         vm.start_server()
@@ -98,24 +104,26 @@
         self.cluster.start()
         for vm in self.cluster.vms:
             self.checker.add_server(vm.server)
-        if not platformcluster.wait_until(_READY_S, self._works):
-            raise TimeoutError("the cluster does not serve everything")
+        if not platformcluster.wait_until(
+            _START_TIMEOUT_S, self._serves_all_routes
+        ):
+            raise TimeoutError("the cluster does not serve all routes")
 
     def stop(self) -> None:
-        self._ended.set()
+        self._stopped.set()
         self.cluster.stop()
         for each in self._proxies:
             each.close()
 
-    def play(self, seconds: float) -> None:
-        """Runs callers and faults, which overlap, for a time."""
+    def inject_faults(self, seconds: float) -> None:
+        """Starts the callers, and injects overlapping faults for `seconds`."""
         for vm in self.cluster.vms:
-            for _ in range(_CALLERS_A_PLACE):
+            for _ in range(_CALLERS_PER_VM):
                 threading.Thread(
-                    target=self._call, args=(vm,), daemon=True
+                    target=self._run_caller, args=(vm,), daemon=True
                 ).start()
         end = time.monotonic() + seconds
-        going: dict[str, threading.Thread] = {}
+        active: dict[str, threading.Thread] = {}
         while time.monotonic() < end:
             time.sleep(self.rng.uniform(0.1, 1.5))
             fault = self.rng.choice(faults.ALL)
@@ -123,25 +131,34 @@
             names = {vm.name}
             if fault is faults.kill_all:
                 names = {each.name for each in self.cluster.vms}
-            # One thing at a time is done to each vm's processes.
-            if any(name in going and going[name].is_alive() for name in names):
+            # Faults at the same VM would act on the same processes, so they
+            # must not overlap.
+            if any(
+                name in active and active[name].is_alive() for name in names
+            ):
                 continue
-            self._note(f"{fault.__name__} {vm.name}")
+            self._log_fault(f"{fault.__name__} {vm.name}")
             thread = threading.Thread(
                 target=self._inject, args=(fault, vm), daemon=True
             )
             thread.start()
-            going.update(dict.fromkeys(names, thread))
-        for thread in going.values():
+            active.update(dict.fromkeys(names, thread))
+        for thread in active.values():
             thread.join(30)
 
-    def recover(self) -> float | None:
-        """Returns how long it took until all was served, or None."""
-        begun = time.monotonic()
-        worked = platformcluster.wait_until(_RECOVER_S, self._works)
-        return time.monotonic() - begun if worked else None
+    def wait_for_recovery(self) -> float | None:
+        """Waits until all routes are served.
 
-    def _works(self) -> bool:
+        Returns:
+            The time that it took, seconds, or None if it exceeded the limit.
+        """
+        started_at = time.monotonic()
+        recovered = platformcluster.wait_until(
+            _RECOVERY_LIMIT_S, self._serves_all_routes
+        )
+        return time.monotonic() - started_at if recovered else None
+
+    def _serves_all_routes(self) -> bool:
         with contextlib.suppress(OSError, http.client.HTTPException):
             return self.cluster.serves_all_routes()
         return False
@@ -150,66 +167,75 @@
         try:
             fault(self.context, vm)
         except Exception:  # noqa: BLE001
-            # A fault that can't be injected makes the run worthless.
+            # A run in which a fault was not injected must fail.
             self.checker.violations.append(traceback.format_exc())
-        self._note(f"{fault.__name__} {vm.name} ends")
+        self._log_fault(f"{fault.__name__} {vm.name} ends")
 
-    def _note(self, text: str) -> None:
-        at = time.monotonic() - self._begun
-        self.fault_log.append(f"{at:7.3f} {text}")
+    def _log_fault(self, text: str) -> None:
+        elapsed_s = time.monotonic() - self._started_at
+        self.fault_log.append(f"{elapsed_s:7.3f} {text}")
 
-    def _call(self, vm: platformcluster.VM) -> None:
-        """Asks again and again, on a connection that is kept while it works."""
+    def _run_caller(self, vm: platformcluster.VM) -> None:
+        """Sends requests until the run stops; reconnects after an error."""
         rng = random.Random(self.rng.random())
-        link = http.client.HTTPConnection(vm.caller_address, timeout=3)
-        while not self._ended.is_set():
-            time.sleep(rng.uniform(0, 2 * _PAUSE_S))
+        connection = http.client.HTTPConnection(vm.caller_address, timeout=3)
+        while not self._stopped.is_set():
+            time.sleep(rng.uniform(0, 2 * _MEAN_PAUSE_S))
             request = f"s{next(self._ids):07d}"
-            pay = rng.random() < 0.6
-            host = "money.example" if pay else "seats.example"
-            path = f"/pay/{request}" if pay else f"/browse/{request}"
+            keyed = rng.random() < 0.6
+            host = "money.example" if keyed else "seats.example"
+            path = f"/pay/{request}" if keyed else f"/browse/{request}"
             headers = {
                 "Host": host,
                 "X-Tamarackgap-Attempt-Id": request,
-                "X-Tamarackgap-Timeout-Ms": str(_TIMEOUT_MS),
+                "X-Tamarackgap-Timeout-Ms": str(_REQUEST_TIMEOUT_MS),
             }
-            if pay:
+            if keyed:
                 headers["X-Tamarackgap-Shard-Key"] = str(rng.randrange(65_536))
-            status, answer, body = 0, {}, b""
+            status, response_headers, body = 0, {}, b""
             try:
-                link.request("POST" if pay else "GET", path, headers=headers)
-                found = link.getresponse()
-                body = found.read()
-                status, answer = found.status, found.headers
+                connection.request(
+                    "POST" if keyed else "GET", path, headers=headers
+                )
+                response = connection.getresponse()
+                body = response.read()
+                status, response_headers = response.status, response.headers
             except (OSError, http.client.HTTPException):
-                link.close()
-                link = http.client.HTTPConnection(vm.caller_address, timeout=3)
+                connection.close()
+                connection = http.client.HTTPConnection(
+                    vm.caller_address, timeout=3
+                )
             self.checker.record_exchange(
                 checker.Exchange(
                     request,
-                    not pay,
+                    not keyed,
                     path,
                     status,
-                    bool(answer.get("X-Tamarackgap-Response-Signature")),
-                    answer.get("X-Tamarackgap-Attempt-Id", ""),
+                    bool(
+                        response_headers.get("X-Tamarackgap-Response-Signature")
+                    ),
+                    response_headers.get("X-Tamarackgap-Attempt-Id", ""),
                     body,
                 )
             )
 
 
 def run_seed(folder: pathlib.Path, seed: int, seconds: float) -> RunResult:
-    """Plays one seed.
+    """Runs one seed.
 
     Args:
-        folder: Takes settings and logs.
-        seed: Of vms, faults and times.
-        seconds: How long faults are injected.
+        folder: Folder for the daemons' settings and logs.
+        seed: Seed for the choice of VMs, faults and times.
+        seconds: Time during which faults are injected, seconds.
+
+    Raises:
+        TimeoutError: If the cluster does not start in time.
     """
     soak = _Soak(folder, seed)
     try:
         soak.start()
-        soak.play(seconds)
-        recovered = soak.recover()
+        soak.inject_faults(seconds)
+        recovery_s = soak.wait_for_recovery()
         time.sleep(_SETTLE_S)
         violations = soak.checker.finish()
     finally:
@@ -219,6 +245,6 @@
         violations,
         requests_sent,
         soak.checker.statuses[200] / max(1, requests_sent),
-        recovered,
+        recovery_s,
         soak.fault_log,
     )
--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -1,4 +1,4 @@
-"""The soak's checker must find what it looks for."""
+"""Tests that the soak's checker reports each kind of violation."""
 
 import json
 
@@ -8,7 +8,7 @@
 
 
 class Server:
-    """A server that holds keys, and tells what it runs."""
+    """A server whose holds are set by the test."""
 
     def __init__(self, name, holding=True):
         self.instance = name
@@ -17,7 +17,7 @@
         self.holding = holding
         self.on_run_started = None
 
-    def holds(self, position):
+    def holds(self, shard_key):
         return self.holding
 
 
@@ -37,7 +37,7 @@
     return checker.Exchange(request, path=path, status=status, **values)
 
 
-def test_good_answers_are_kept(subject):
+def test_a_correct_exchange_is_no_violation(subject):
     server = Server("a")
     subject.add_server(server)
     server.on_run_started(server, "r1", 5)
@@ -45,38 +45,38 @@
     assert subject.finish() == []
 
 
-def test_two_runs_of_one_request_are_found(subject):
+def test_two_executions_of_one_request_are_reported(subject):
     server = Server("a")
     subject.add_server(server)
     server.on_run_started(server, "r1", 5)
     server.on_run_started(server, "r1", 5)
     subject.record_exchange(_exchange())
-    assert subject.finish() == ["TWICE r1"]
+    assert subject.finish() == ["EXECUTED TWICE r1"]
 
 
-def test_a_refused_request_that_has_run_is_found(subject):
+def test_execution_of_a_refused_request_is_reported(subject):
     server = Server("a")
     subject.add_server(server)
     subject.record_exchange(_exchange(status=503))
     server.on_run_started(server, "r1", 5)
-    assert subject.finish() == ["REFUSED r1: it has run"]
+    assert subject.finish() == ["REFUSED r1: it was executed"]
 
 
-def test_two_holders_of_a_key_are_found(subject):
-    one, other = Server("a"), Server("b")
-    subject.add_server(one)
-    subject.add_server(other)
-    one.on_run_started(one, "r1", 5)
-    (found,) = subject.finish()
-    assert found.startswith("OWNER 5: a runs r1, b holds it too")
+def test_two_holders_of_a_key_are_reported(subject):
+    first, second = Server("a"), Server("b")
+    subject.add_server(first)
+    subject.add_server(second)
+    first.on_run_started(first, "r1", 5)
+    (violation,) = subject.finish()
+    assert violation.startswith("OWNER 5: a executes r1, b holds it too")
 
 
-def test_a_holder_that_has_ended_does_not_count(subject):
-    one, other = Server("a"), Server("b")
-    other.is_stopped = True
-    subject.add_server(one)
-    subject.add_server(other)
-    one.on_run_started(one, "r1", 5)
+def test_a_holder_that_has_stopped_is_ignored(subject):
+    first, second = Server("a"), Server("b")
+    second.is_stopped = True
+    subject.add_server(first)
+    subject.add_server(second)
+    first.on_run_started(first, "r1", 5)
     assert subject.finish() == []
 
 
@@ -89,7 +89,7 @@
         {"body": b'{"path": "/pay/other"}'},
     ],
 )
-def test_an_answer_that_is_not_its_own_is_found(subject, changed):
+def test_a_response_to_another_request_is_reported(subject, changed):
     subject.record_exchange(_exchange(**changed))
-    (found,) = subject.finish()
-    assert found.startswith("MIXED r1")
+    (violation,) = subject.finish()
+    assert violation.startswith("MIXED r1")
