--- a/standins/appserver.py
+++ b/standins/appserver.py
@@ -1,4 +1,4 @@
-"""A server of the users: runs requests, and holds the keys it is granted."""
+"""Stand-in for a server of the users' platform, with keys granted to it."""
 
 import http.client
 import json
@@ -10,10 +10,19 @@
 
 from standins import httpd
 
-_HEARTBEAT_S = 0.2
+_HEARTBEAT_INTERVAL_S = 0.2
 
 
 class _Hold(msgspec.Struct):
+    """A granted range of keys.
+
+    Attributes:
+        first: First key.
+        last: Last key.
+        fence: Fence of the grant.
+        until: Monotonic time at which the grant expires, seconds.
+    """
+
     first: int
     last: int
     fence: int
@@ -21,7 +30,25 @@
 
 
 class AppServer:
-    """One life of a server, beside one daemon."""
+    """One incarnation of a server, which announces itself to one daemon.
+
+    Attributes:
+        instance: Id of this incarnation.
+        service: Service of the server.
+        address: Address at which it listens, `ip:port`.
+        work_s: Duration of a request, seconds.
+        slots: Number of concurrent requests that it announces.
+        state: State that it announces, `ready` or `draining`.
+        executed_requests: Id and shard key of each executed request.
+        grant_count: Number of grants received, including refused ones.
+        fault: Fault to inject: `full` refuses requests; `cut` closes the
+            connection, `error` answers 500 and `unsigned` answers without a
+            signature, each after the execution. Empty for no fault.
+        on_run_started: Called with this server, the request's id and its shard
+            key before each execution.
+        crash_path: A request for a path with this prefix ends the server;
+            empty for none.
+    """
 
     def __init__(
         self,
@@ -35,12 +62,12 @@
         """Creates a server that has not started.
 
         Args:
-            instance: Its id.
-            service: Its service.
-            address: Its `ip:port`.
-            daemon: Where it announces itself.
-            keyed: Whether it runs requests only for keys that it holds.
-            work_s: Time of a request, seconds.
+            instance: Id of this incarnation.
+            service: Service of the server.
+            address: Address to listen at, `ip:port`.
+            daemon: Address of the daemon to which it announces itself.
+            keyed: Whether it executes requests only for keys that it holds.
+            work_s: Duration of a request, seconds.
         """
         self.instance = instance
         self.service = service
@@ -48,47 +75,43 @@
         self.work_s = work_s
         self.slots = 8
         self.state = "ready"
-        # Ids of all requests that were run, with their keys.
         self.executed_requests: list[tuple[str, int | None]] = []
         self.grant_count = 0
-        # What to do with a request instead of running it well.
         self.fault = ""
-        # Called with this server, id and key of each request that it runs.
         self.on_run_started: Callable[[AppServer, str, int | None], None] = (
-            _ignore
+            _ignore_run
         )
-        # A request for this path ends its life.
         self.crash_path = ""
         self._daemon = daemon
         self._keyed = keyed
-        self._born = int(time.time() * 1000)
+        self._started_at_ms = int(time.time() * 1000)
         self._sequence = 0
         self._holds: list[_Hold] = []
-        self._handovers = 0
+        self._release_count = 0
         self._lock = threading.Lock()
-        self._ended = threading.Event()
+        self._stopping = threading.Event()
         self._closed = threading.Event()
-        self._server = httpd.serve(address, self._answer)
+        self._server = httpd.serve(address, self._handle_request)
 
     def start(self) -> None:
-        """Serves and announces itself, on threads."""
+        """Starts the threads that serve requests and send heartbeats."""
         threading.Thread(target=self._server.serve_forever, daemon=True).start()
-        threading.Thread(target=self._announce, daemon=True).start()
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
     @property
     def is_stopped(self) -> bool:
-        """Whether this life is over, and its address free."""
+        """Whether the server has stopped and released its address."""
         return self._closed.is_set()
 
     def stop(self) -> None:
-        """Ends at once, without a word."""
-        self._ended.set()
+        """Stops the server at once, without an announcement."""
+        self._stopping.set()
         self._server.shutdown()
         self._server.server_close()
         self._closed.set()
 
     def send_heartbeat(self) -> bool:
-        """Announces itself once; returns whether it was acknowledged."""
+        """Sends one heartbeat; returns whether the daemon acknowledged it."""
         self._sequence += 1
         body = {
             "service": self.service,
@@ -99,7 +122,7 @@
             "state": self.state,
             "cold_remaining_ms": 0,
             "seq": self._sequence,
-            "born": self._born,
+            "born": self._started_at_ms,
         }
         path = f"/-/instances/{self.instance}/heartbeat"
         connection = http.client.HTTPConnection(self._daemon, timeout=1)
@@ -111,28 +134,28 @@
         finally:
             connection.close()
 
-    def holds(self, position: int) -> bool:
-        """Returns whether it holds a key now."""
+    def holds(self, shard_key: int) -> bool:
+        """Returns whether the server currently holds a shard key."""
         with self._lock:
             now = time.monotonic()
             return any(
-                hold.first <= position <= hold.last and hold.until > now
+                hold.first <= shard_key <= hold.last and hold.until > now
                 for hold in self._holds
             )
 
-    def _announce(self) -> None:
-        while not self._ended.is_set():
+    def _send_heartbeats(self) -> None:
+        while not self._stopping.is_set():
             self.send_heartbeat()
-            self._ended.wait(_HEARTBEAT_S)
+            self._stopping.wait(_HEARTBEAT_INTERVAL_S)
 
-    def _answer(self, query: httpd.Request) -> httpd.Response:
-        if self._ended.is_set():
+    def _handle_request(self, request: httpd.Request) -> httpd.Response:
+        if self._stopping.is_set():
             return httpd.Response(None)
-        if query.path == "/-/grant":
-            return self._grant(query.json())
-        if query.path == "/-/release":
-            return self._release(query.json())
-        return self._run(query)
+        if request.path == "/-/grant":
+            return self._grant(request.json())
+        if request.path == "/-/release":
+            return self._release(request.json())
+        return self._run(request)
 
     def _grant(self, body: dict) -> httpd.Response:
         with self._lock:
@@ -143,15 +166,16 @@
                 if overlaps and hold.fence > body["fence"]:
                     return httpd.Response(409)
             until = time.monotonic() + body["hold_ms"] / 1000
-            self._cut(first, last)
+            self._remove_range(first, last)
             self._holds.append(_Hold(first, last, body["fence"], until))
         return httpd.Response(200)
 
-    def _cut(self, first: int, last: int) -> None:
-        kept = []
+    def _remove_range(self, first: int, last: int) -> None:
+        """Removes keys from all holds, and keeps the rest of each hold."""
+        remaining = []
         for hold in self._holds:
             if hold.first < first:
-                kept.append(
+                remaining.append(
                     _Hold(
                         hold.first,
                         min(hold.last, first - 1),
@@ -160,7 +184,7 @@
                     )
                 )
             if hold.last > last:
-                kept.append(
+                remaining.append(
                     _Hold(
                         max(hold.first, last + 1),
                         hold.last,
@@ -168,23 +192,23 @@
                         hold.until,
                     )
                 )
-        self._holds = kept
+        self._holds = remaining
 
     def _release(self, body: dict) -> httpd.Response:
         with self._lock:
-            self._cut(body["from"], body["target"])
-            self._handovers += 1
-            text = f"{self.instance}-{self._handovers}"
-        return httpd.Response(200, headers={"X-Tamarackgap-Handover": text})
-
-    def _run(self, query: httpd.Request) -> httpd.Response:
-        request = query.headers.get("x-tamarackgap-attempt-id", "")
-        echo = {"X-Tamarackgap-Attempt-Id": request}
-        wanted = query.headers.get("x-tamarackgap-target-instance")
-        key = query.headers.get("x-tamarackgap-shard-key")
-        position = int(key) if key else None
-        if wanted != self.instance or (
-            self._keyed and not self.holds(position)
+            self._remove_range(body["from"], body["target"])
+            self._release_count += 1
+            handover = f"{self.instance}-{self._release_count}"
+        return httpd.Response(200, headers={"X-Tamarackgap-Handover": handover})
+
+    def _run(self, request: httpd.Request) -> httpd.Response:
+        request_id = request.headers.get("x-tamarackgap-attempt-id", "")
+        echo = {"X-Tamarackgap-Attempt-Id": request_id}
+        addressee = request.headers.get("x-tamarackgap-target-instance")
+        key_text = request.headers.get("x-tamarackgap-shard-key")
+        shard_key = int(key_text) if key_text else None
+        if addressee != self.instance or (
+            self._keyed and not self.holds(shard_key)
         ):
             return httpd.Response(
                 421, headers={**echo, "X-Tamarackgap-Not-Executed": "1"}
@@ -193,13 +217,13 @@
             return httpd.Response(
                 503, headers={**echo, "X-Tamarackgap-Not-Executed": "1"}
             )
-        self.on_run_started(self, request, position)
+        self.on_run_started(self, request_id, shard_key)
         time.sleep(self.work_s)
         with self._lock:
-            self.executed_requests.append((request, position))
-        if self.crash_path and query.path.startswith(self.crash_path):
+            self.executed_requests.append((request_id, shard_key))
+        if self.crash_path and request.path.startswith(self.crash_path):
             threading.Thread(target=self.stop, daemon=True).start()
-            self._ended.wait(1)
+            self._stopping.wait(1)
             return httpd.Response(None)
         match self.fault:
             case "cut":
@@ -210,19 +234,21 @@
                 return httpd.Response(200, b"spoilt", echo)
             case _:
                 status = 200
-        told = {
+        answer = {
             "instance": self.instance,
-            "path": query.path,
-            "origin": query.headers.get("x-tamarackgap-caller-service"),
-            "left_ms": query.headers.get("x-tamarackgap-timeout-ms"),
-            "body": query.body.decode("latin-1"),
+            "path": request.path,
+            "origin": request.headers.get("x-tamarackgap-caller-service"),
+            "left_ms": request.headers.get("x-tamarackgap-timeout-ms"),
+            "body": request.body.decode("latin-1"),
         }
         return httpd.Response(
             status,
-            json.dumps(told).encode("utf-8"),
+            json.dumps(answer).encode("utf-8"),
             {**echo, "X-Tamarackgap-Response-Signature": "signed"},
         )
 
 
-def _ignore(server: AppServer, request: str, position: int | None) -> None:
-    del server, request, position
+def _ignore_run(
+    server: AppServer, request_id: str, shard_key: int | None
+) -> None:
+    del server, request_id, shard_key
--- a/standins/httpd.py
+++ b/standins/httpd.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for the stand-ins, on threads."""
+"""A small threaded HTTP server for the stand-ins."""
 
 import http.server
 import json
@@ -10,7 +10,14 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A request to a stand-in."""
+    """A request to a stand-in.
+
+    Attributes:
+        method: Method of the request.
+        path: Path with the query string.
+        headers: Headers, with names in lower case.
+        body: The body.
+    """
 
     method: str
     path: str
@@ -18,22 +25,29 @@
     body: bytes
 
     def json(self) -> dict:
-        """Returns the body, decoded."""
+        """Decodes the body from JSON; an empty body gives an empty dict."""
         return json.loads(self.body or b"{}")
 
 
 class Response(msgspec.Struct, frozen=True):
-    """A stand-in's answer; without a status the connection is dropped."""
+    """A response of a stand-in.
+
+    Attributes:
+        status: Status, or None to close the connection without a response.
+        body: The body.
+        headers: Further headers; `_` in a name is sent as `-`.
+        length: Content-Length to send if it is to differ from the body's, as
+            a fault.
+    """
 
     status: int | None
     body: bytes = b""
     headers: dict[str, str] = {}
-    # Sent as the length where it differs from the body's, for faults.
     length: int | None = None
 
 
 def json_response(value: object, status: int = 200, **headers: str) -> Response:
-    """Returns an answer with a JSON body."""
+    """Returns a response with a JSON body."""
     return Response(status, msgspec.json.encode(value), headers)
 
 
@@ -46,13 +60,21 @@
     allow_reuse_address = True
 
     def handle_error(self, request: object, client_address: object) -> None:
-        """Reports errors, but for callers that went away."""
+        """Reports errors, except those of connections closed by the client."""
         if not isinstance(sys.exc_info()[1], ConnectionError):
             super().handle_error(request, client_address)
 
 
-def serve(address: str, answer: RequestHandler) -> http.server.HTTPServer:
-    """Returns a server bound to `ip:port`; call its `serve_forever`."""
+def serve(address: str, handler: RequestHandler) -> http.server.HTTPServer:
+    """Returns a server bound to an address.
+
+    Args:
+        address: Address to listen at, `ip:port`.
+        handler: Called for each request, on the thread of its connection.
+
+    Returns:
+        The server; it accepts connections once `serve_forever` is called.
+    """
 
     class Handler(http.server.BaseHTTPRequestHandler):
         protocol_version = "HTTP/1.1"
@@ -62,29 +84,33 @@
         def _handle(self) -> None:
             size = int(self.headers.get("Content-Length") or 0)
             headers = {k.lower(): v for k, v in self.headers.items()}
-            query = Request(
+            request = Request(
                 self.command, self.path, headers, self.rfile.read(size)
             )
-            reply = answer(query)
-            if reply.status is None:
+            response = handler(request)
+            if response.status is None:
                 self.close_connection = True
                 return
-            self.send_response(reply.status)
-            for name, value in reply.headers.items():
+            self.send_response(response.status)
+            for name, value in response.headers.items():
                 self.send_header(name.replace("_", "-"), value)
-            length = len(reply.body) if reply.length is None else reply.length
+            length = (
+                len(response.body)
+                if response.length is None
+                else response.length
+            )
             self.send_header("Content-Type", "application/json")
             self.send_header("Content-Length", str(length))
             self.end_headers()
-            self.wfile.write(reply.body)
+            self.wfile.write(response.body)
             self.wfile.flush()
-            if length != len(reply.body):
+            if length != len(response.body):
                 self.close_connection = True
 
         do_GET = do_POST = do_PUT = do_DELETE = _handle  # noqa: N815
 
         def log_message(self, *args: object) -> None:
-            """Keeps standard error quiet."""
+            """Writes no log."""
 
     host, _, port = address.rpartition(":")
     return _Server((host, int(port)), Handler)
--- a/standins/platformcluster.py
+++ b/standins/platformcluster.py
@@ -1,4 +1,7 @@
-"""Router daemons beside stand-ins of the users' platform, as real processes."""
+"""Runs routers as real processes, with stand-ins for the users' platform.
+
+The store and the servers are stand-ins that run on threads of this process.
+"""
 
 import contextlib
 import http.client
@@ -14,7 +17,7 @@
 from standins import appserver, httpd, ports, rowstore
 
 PORTS_PER_VM = 6
-# Moves and new epochs follow each other faster than this.
+# While slots move or epochs change, the store is written more often than this.
 STORE_IDLE_S = 2.0
 LIMITS = {
     "max_header_bytes": 4096,
@@ -25,7 +28,7 @@
 
 
 def route(name, host, prefix, service, idempotent=True, **spec):
-    """Returns a route as the operator writes it."""
+    """Returns a route resource of the operators' configuration."""
     return {
         "type": "routes",
         "metadata": {"name": name},
@@ -44,7 +47,7 @@
 
 
 def service(name, keyed=False):
-    """Returns a service as the operator writes it."""
+    """Returns a service resource of the operators' configuration."""
     return {
         "type": "services",
         "metadata": {"name": name},
@@ -57,7 +60,7 @@
 
 
 def configuration(version, *resources):
-    """Returns the bytes of a whole configuration."""
+    """Returns a complete configuration, encoded as JSON."""
     limits = {"type": "limits", "metadata": {}, "spec": LIMITS}
     return json.dumps(
         {"version": f"{version:08x}", "resources": [*resources, limits]}
@@ -74,7 +77,28 @@
 
 
 class VM:
-    """One VM: a server and the daemon beside it."""
+    """A server and its local daemon.
+
+    Attributes:
+        cluster: The cluster that the VM is part of.
+        name: Name of the VM, its daemon and its data centre.
+        service: Service of the server.
+        keyed: Whether the service is keyed.
+        caller_address: Where the daemon listens for callers.
+        peer_address: Where the daemon listens for other daemons.
+        announce_address: Where the daemon listens for the server.
+        ready_address: Where the daemon answers readiness checks.
+        metrics_address: Where the daemon serves its metrics and pages.
+        server_address: Where the server listens.
+        store_address: Address of the store in the daemon's settings; change
+            it before `start` to put a proxy in between.
+        target_address: Address of the server in the daemon's settings; may be
+            changed likewise.
+        server_incarnation: Number of servers started so far.
+        server: The current server, None before the first start.
+        process: The daemon's process, None before the first start.
+        log: File for the daemon's log.
+    """
 
     def __init__(self, cluster, name, service_name, keyed):
         self.cluster = cluster
@@ -83,15 +107,16 @@
         self.keyed = keyed
         base = ports.free_ports(PORTS_PER_VM, cluster.next_port())
         cluster.reserve_ports_below(base + PORTS_PER_VM)
-        own = [f"127.0.0.1:{base + index}" for index in range(PORTS_PER_VM)]
+        addresses = [
+            f"127.0.0.1:{base + index}" for index in range(PORTS_PER_VM)
+        ]
         (
             self.caller_address,
             self.peer_address,
             self.announce_address,
             self.ready_address,
-        ) = own[:4]
-        self.server_address, self.metrics_address = own[4:]
-        # Where the daemon finds the store and its target.
+        ) = addresses[:4]
+        self.server_address, self.metrics_address = addresses[4:]
         self.store_address = cluster.store_address
         self.target_address = self.server_address
         self.server_incarnation = 0
@@ -100,7 +125,7 @@
         self.log = cluster.folder / f"{name}.log"
 
     def start_server(self):
-        """Starts the next life of the server."""
+        """Starts the next incarnation of the server."""
         self.server_incarnation += 1
         self.server = appserver.AppServer(
             f"{self.name}-{self.server_incarnation}",
@@ -112,7 +137,7 @@
         self.server.start()
 
     def start(self):
-        """Starts the daemon."""
+        """Writes the daemon's settings, and starts it."""
         settings = self.cluster.folder / f"{self.name}.ini"
         settings.write_text(
             f"""[daemon]
@@ -147,12 +172,12 @@
             )
 
     def kill(self):
-        """Ends the daemon with SIGKILL."""
+        """Kills the daemon with SIGKILL, and waits for its end."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
 
     def is_ready(self):
-        """Returns whether the daemon says that it is ready."""
+        """Returns whether the daemon's readiness check succeeds."""
         with contextlib.suppress(OSError):
             return (
                 send_request(self.ready_address, "GET", "/-/readiness")[0]
@@ -161,17 +186,30 @@
         return False
 
     def log_lines(self, event):
-        """Returns the daemon's log lines of one event."""
+        """Returns the daemon's log lines for an event."""
         text = self.log.read_text()
         return [line for line in text.splitlines() if f"event={event} " in line]
 
 
 class PlatformCluster:
-    """A store and some vms."""
+    """A store and VMs that share it.
+
+    Attributes:
+        folder: Folder for settings and logs.
+        store: The store.
+        store_address: Where the store listens.
+        vms: The VMs.
+    """
 
     def __init__(self, folder, vms):
+        """Starts the store only.
+
+        Args:
+            folder: Folder for settings and logs.
+            vms: Name, service and whether that is keyed, for each VM.
+        """
         self.folder = folder
-        self._port = 25_000
+        self._next_port = 25_000
         self.store = rowstore.RowStore()
         port = ports.free_ports(1, self.next_port())
         self.reserve_ports_below(port + 1)
@@ -183,7 +221,7 @@
         self.vms = [VM(self, *vm) for vm in vms]
 
     def serves_all_routes(self):
-        """Returns whether all daemons are ready and serve everything."""
+        """Returns whether all daemons are ready and serve all services."""
         if not all(vm.is_ready() for vm in self.vms):
             return False
         return all(
@@ -196,28 +234,28 @@
         )
 
     def is_store_idle(self):
-        """Returns whether nothing has been written for a while."""
+        """Returns whether no transaction is committed for `STORE_IDLE_S`."""
         count = self.store.committed_transactions
         time.sleep(STORE_IDLE_S)
         return self.store.committed_transactions == count
 
     def next_port(self):
-        """Returns the first port that may be free."""
-        return self._port
+        """Returns the first port that is not reserved."""
+        return self._next_port
 
     def reserve_ports_below(self, port):
-        """Notes that all ports below one are taken."""
-        self._port = port
+        """Reserves all ports below `port`."""
+        self._next_port = port
 
     def start(self):
-        """Starts all servers and daemons."""
+        """Writes the configuration, and starts all servers and daemons."""
         self.store.put("op", "config", configuration(1, *DEFAULT_RESOURCES))
         for vm in self.vms:
             vm.start_server()
             vm.start()
 
     def stop(self):
-        """Ends everything that was started here."""
+        """Stops all daemons, the servers and the store."""
         for vm in self.vms:
             if vm.process is not None and vm.process.poll() is None:
                 vm.kill()
@@ -229,24 +267,36 @@
 
 @contextlib.contextmanager
 def run_cluster(folder, vms, ready_s):
-    """Runs a cluster; raises TimeoutError if it does not work in time."""
-    found = PlatformCluster(folder, vms)
-    found.start()
+    """Runs a cluster for the duration of a `with` block.
+
+    Args:
+        folder: Folder for settings and logs.
+        vms: Name, service and whether that is keyed, for each VM.
+        ready_s: Time until all services must be served, seconds.
+
+    Yields:
+        The cluster, once it serves all services.
+
+    Raises:
+        TimeoutError: If that takes longer than `ready_s`.
+    """
+    cluster = PlatformCluster(folder, vms)
+    cluster.start()
     try:
-        if not wait_until(ready_s, found.serves_all_routes):
-            raise TimeoutError("the cluster does not serve everything")
-        yield found
+        if not wait_until(ready_s, cluster.serves_all_routes):
+            raise TimeoutError("the cluster does not serve all routes")
+        yield cluster
     finally:
-        found.stop()
+        cluster.stop()
 
 
 def send_request(address, method, path, headers=None, body=None, timeout=5):
-    """Returns status, headers and body of a request."""
+    """Sends an HTTP request; returns status, headers and body."""
     connection = http.client.HTTPConnection(address, timeout=timeout)
     try:
         connection.request(method, path, body, headers or {})
-        answer = connection.getresponse()
-        return answer.status, dict(answer.getheaders()), answer.read()
+        response = connection.getresponse()
+        return response.status, dict(response.getheaders()), response.read()
     finally:
         connection.close()
 
@@ -257,7 +307,11 @@
 def send_caller_request(
     vm, host, path, key=None, method="GET", body=None, timeout_ms=1500
 ):
-    """Returns status, headers, body and id of a client's request."""
+    """Sends a caller's request to a VM's daemon.
+
+    Returns:
+        Status, headers and body of the response, and the request's id.
+    """
     request = f"r{next(_ids):06d}"
     headers = {
         "Host": host,
@@ -273,9 +327,9 @@
 
 
 def wait_until(seconds, condition):
-    """Returns whether a condition came to hold in time."""
-    end = time.monotonic() + seconds
-    while time.monotonic() < end:
+    """Polls a condition; returns whether it held within `seconds`."""
+    deadline = time.monotonic() + seconds
+    while time.monotonic() < deadline:
         if condition():
             return True
         time.sleep(0.02)
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,13 +1,18 @@
-"""Ports that are free on this machine."""
+"""Finds free ports on the loopback interface."""
 
 import socket
 
 
 def free_ports(count: int, first: int = 24000, last: int = 32000) -> int:
-    """Returns the first of `count` neighbouring ports that are free.
+    """Returns the first port of a range of free ports.
+
+    Args:
+        count: Number of consecutive ports that must be free.
+        first: Lowest port to consider.
+        last: Upper limit of the search; the range ends below it.
 
     Raises:
-        RuntimeError: If there are none.
+        RuntimeError: If there is no such range.
     """
     base = first
     while base + count < last:
@@ -15,7 +20,7 @@
         if not taken:
             return base
         base = taken[-1] + 1
-    raise RuntimeError("no free ports")
+    raise RuntimeError("no range of free ports")
 
 
 def _is_free(port: int) -> bool:
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -1,4 +1,7 @@
-"""The users' platform's store, in memory: rows, conditions and long polls."""
+"""In-memory stand-in for the store of the users' platform.
+
+It offers reads, conditional transactions, and long polls for changes.
+"""
 
 import base64
 import json
@@ -8,78 +11,83 @@
 
 from standins import httpd
 
-_PAGE = 500
-_SILENT_STEP_S = 0.02
+_MAX_ROWS_PER_READ = 500
+_UNRESPONSIVE_POLL_S = 0.02
 
 
 class RowStore:
-    """Rows in tables, each change with the next version."""
+    """Rows in tables, where each change gets the next version.
+
+    Attributes:
+        failure_status: Status for every call while it is not None.
+        is_unresponsive: Whether calls wait for an answer until it is reset.
+        call_counts: Number of calls by path.
+        committed_transactions: Number of committed transactions, without the
+            rows that `put` writes.
+    """
 
     def __init__(self) -> None:
         self._rows: dict[tuple[str, str, str], tuple[str, int]] = {}
         self._changes: list[dict[str, object]] = []
         self._version = 0
-        self._kept_from = 0
+        self._history_start = 0
         self._changed = threading.Condition()
-        self._begun = time.monotonic()
-        # Answers every call with this status while it is set.
+        self._started_at = time.monotonic()
         self.failure_status: int | None = None
-        # Answers nothing while it is set.
         self.is_unresponsive = False
         self.call_counts: dict[str, int] = {}
-        # Transactions that were carried out.
         self.committed_transactions = 0
 
     def put(self, table: str, key: str, value: bytes) -> None:
-        """Writes a row as the operator does."""
+        """Writes a row unconditionally, as the operators' tools do."""
         with self._changed:
             self._version += 1
-            text = base64.b64encode(value).decode("ascii")
-            self._write(table, "", key, text)
+            encoded = base64.b64encode(value).decode("ascii")
+            self._write(table, "", key, encoded)
             self._changed.notify_all()
 
     def forget_history(self) -> None:
-        """Drops all changes that are past."""
+        """Drops the history, so that polls after older versions get 410."""
         with self._changed:
-            self._kept_from = self._version
+            self._history_start = self._version
             self._changes.clear()
 
     def value(self, table: str, key: str) -> bytes | None:
-        """Returns a row's value, or None."""
+        """Returns the value of a row, or None if there is no such row."""
         with self._changed:
-            found = self._rows.get((table, "", key))
-        return None if found is None else base64.b64decode(found[0])
+            row = self._rows.get((table, "", key))
+        return None if row is None else base64.b64decode(row[0])
 
     def keys(self, table: str) -> list[str]:
         """Returns the keys of a table, sorted."""
         with self._changed:
             return sorted(key for name, _, key in self._rows if name == table)
 
-    def handle_request(self, query: httpd.Request) -> httpd.Response:
-        """Answers a call."""
-        path, _, arguments = query.path.partition("?")
+    def handle_request(self, request: httpd.Request) -> httpd.Response:
+        """Handles a call of the store's HTTP API."""
+        path, _, query = request.path.partition("?")
         self.call_counts[path] = self.call_counts.get(path, 0) + 1
         while self.is_unresponsive:
-            time.sleep(_SILENT_STEP_S)
+            time.sleep(_UNRESPONSIVE_POLL_S)
         if self.failure_status is not None:
             return httpd.Response(self.failure_status)
-        fields = dict(urllib.parse.parse_qsl(arguments, keep_blank_values=True))
-        match (query.method, path):
+        parameters = dict(urllib.parse.parse_qsl(query, keep_blank_values=True))
+        match (request.method, path):
             case ("POST", "/-/rows-tx"):
-                return self._transact(query.json())
+                return self._commit(request.json())
             case ("GET", "/-/rows-get"):
-                return self._get(fields)
+                return self._get(parameters)
             case ("GET", "/-/rows-feed"):
-                return self._feed(fields)
+                return self._poll_changes(parameters)
         return httpd.Response(404)
 
-    def _stamps(self) -> dict[str, int]:
-        passed = time.monotonic() - self._begun
-        return {"ver": self._version, "now_ms": int(passed * 1000)}
+    def _version_and_time(self) -> dict[str, int]:
+        elapsed_s = time.monotonic() - self._started_at
+        return {"ver": self._version, "now_ms": int(elapsed_s * 1000)}
 
-    def _row(self, place: tuple[str, str, str]) -> dict[str, object]:
-        value, version = self._rows[place]
-        table, part, key = place
+    def _row(self, row_id: tuple[str, str, str]) -> dict[str, object]:
+        value, version = self._rows[row_id]
+        table, part, key = row_id
         return {
             "table": table,
             "part": part,
@@ -92,18 +100,20 @@
         self._rows[table, part, key] = (value, self._version)
         self._changes.append(self._row((table, part, key)))
 
-    def _transact(self, body: dict) -> httpd.Response:
+    def _commit(self, body: dict) -> httpd.Response:
         with self._changed:
             current = []
-            holds = True
+            checks_hold = True
             for entry in body.get("expected_revision", []):
-                place = (entry["table"], entry["part"], entry["key"])
-                found = self._rows.get(place)
-                holds &= (found[1] if found else 0) == entry["ver"]
-                if found:
-                    current.append(self._row(place))
-            if not holds:
-                return _reply(412, rows=current, **self._stamps())
+                row_id = (entry["table"], entry["part"], entry["key"])
+                row = self._rows.get(row_id)
+                checks_hold &= (row[1] if row else 0) == entry["ver"]
+                if row:
+                    current.append(self._row(row_id))
+            if not checks_hold:
+                return _json_response(
+                    412, rows=current, **self._version_and_time()
+                )
             self._version += 1
             self.committed_transactions += 1
             for entry in body.get("put", []):
@@ -111,8 +121,8 @@
                     entry["table"], entry["part"], entry["key"], entry["value"]
                 )
             for entry in body.get("remove", []):
-                place = (entry["table"], entry["part"], entry["key"])
-                if self._rows.pop(place, None) is not None:
+                row_id = (entry["table"], entry["part"], entry["key"])
+                if self._rows.pop(row_id, None) is not None:
                     self._changes.append(
                         {
                             **entry,
@@ -121,39 +131,45 @@
                         }
                     )
             self._changed.notify_all()
-            return _reply(200, **self._stamps())
+            return _json_response(200, **self._version_and_time())
 
-    def _get(self, fields: dict[str, str]) -> httpd.Response:
-        limit = min(int(fields.get("limit", _PAGE)), _PAGE)
+    def _get(self, parameters: dict[str, str]) -> httpd.Response:
+        limit = min(
+            int(parameters.get("limit", _MAX_ROWS_PER_READ)), _MAX_ROWS_PER_READ
+        )
         with self._changed:
-            places = sorted(
-                place
-                for place in self._rows
-                if place[:2] == (fields["table"], fields["part"])
-                and place[2] >= fields.get("from", "")
+            row_ids = sorted(
+                row_id
+                for row_id in self._rows
+                if row_id[:2] == (parameters["table"], parameters["part"])
+                and row_id[2] >= parameters.get("from", "")
+            )
+            rows = [self._row(row_id) for row_id in row_ids[:limit]]
+            has_more = len(row_ids) > limit
+            return _json_response(
+                200, rows=rows, has_more=has_more, **self._version_and_time()
             )
-            rows = [self._row(place) for place in places[:limit]]
-            more = len(places) > limit
-            return _reply(200, rows=rows, has_more=more, **self._stamps())
 
-    def _feed(self, fields: dict[str, str]) -> httpd.Response:
-        after = int(fields["after"])
-        until = time.monotonic() + int(fields["wait_ms"]) / 1000
+    def _poll_changes(self, parameters: dict[str, str]) -> httpd.Response:
+        after = int(parameters["after"])
+        deadline = time.monotonic() + int(parameters["wait_ms"]) / 1000
         with self._changed:
             while True:
-                if after < self._kept_from:
-                    return _reply(410)
+                if after < self._history_start:
+                    return _json_response(410)
                 rows = [
                     change
                     for change in self._changes
                     if change["ver"] > after
-                    and change["table"] == fields["table"]
+                    and change["table"] == parameters["table"]
                 ]
-                left = until - time.monotonic()
-                if rows or left <= 0:
-                    return _reply(200, rows=rows, **self._stamps())
-                self._changed.wait(left)
+                remaining_s = deadline - time.monotonic()
+                if rows or remaining_s <= 0:
+                    return _json_response(
+                        200, rows=rows, **self._version_and_time()
+                    )
+                self._changed.wait(remaining_s)
 
 
-def _reply(status: int, **body: object) -> httpd.Response:
+def _json_response(status: int, **body: object) -> httpd.Response:
     return httpd.Response(status, json.dumps(body).encode("utf-8"))
--- a/standins/table.py
+++ b/standins/table.py
@@ -1,4 +1,4 @@
-"""The platform's transactional table, in memory."""
+"""In-memory stand-in for the transactional table of leases and policies."""
 
 import threading
 
@@ -6,7 +6,12 @@
 
 
 class Table:
-    """Rows with revisions, changed by compare-and-set only."""
+    """Rows with revisions, which change in conditional transactions only.
+
+    Attributes:
+        writes: Number of committed transactions.
+        reads: Number of reads.
+    """
 
     def __init__(self) -> None:
         self._rows: dict[str, records.Row] = {}
@@ -17,31 +22,31 @@
 
     @property
     def revision(self) -> int:
-        """Revision of the last transaction that was committed."""
+        """Revision of the last committed transaction."""
         return self._revision
 
     def commit(
         self, transaction: records.Transaction
     ) -> tuple[bool, list[records.Row]]:
-        """Carries a transaction out, if all its checks hold.
+        """Commits a transaction if all its checks hold.
 
         Returns:
-            Whether it was committed, and all rows that it names as they
-            are afterwards.
+            Whether the transaction was committed, and the current state of
+            all rows that it names.
         """
         with self._lock:
-            holds = all(self._holds(check) for check in transaction.checks)
-            if holds:
+            checks_hold = all(
+                self._holds(check) for check in transaction.checks
+            )
+            if checks_hold:
                 self._apply(transaction)
-            names = {check.key for check in transaction.checks}
-            names |= {write.key for write in transaction.writes}
-            rows = [
-                self._rows[name] for name in sorted(names & set(self._rows))
-            ]
-            return holds, rows
+            keys = {check.key for check in transaction.checks}
+            keys |= {write.key for write in transaction.writes}
+            rows = [self._rows[key] for key in sorted(keys & set(self._rows))]
+            return checks_hold, rows
 
     def rows_since(self, revision: int) -> tuple[int, list[records.Row]]:
-        """Returns the revision now, and all rows changed after `revision`."""
+        """Returns the current revision, and rows changed after `revision`."""
         with self._lock:
             self.reads += 1
             rows = [
@@ -51,8 +56,8 @@
 
     def _holds(self, check: records.Check) -> bool:
         row = self._rows.get(check.key)
-        present = row.revision if row and row.value is not None else 0
-        return present == check.revision
+        current = row.revision if row and row.value is not None else 0
+        return current == check.revision
 
     def _apply(self, transaction: records.Transaction) -> None:
         self._revision += 1
--- a/standins/target.py
+++ b/standins/target.py
@@ -1,4 +1,4 @@
-"""A target: runs requests for keys, and keeps a log of what it truly ran."""
+"""Stand-in for a target, which logs each operation that took effect."""
 
 import http.client
 import json
@@ -17,16 +17,16 @@
 
 
 class Faults(msgspec.Struct):
-    """How the target behaves at present.
+    """Faults that are currently injected.
 
     Attributes:
-        health: What it says of its health, true or not.
-        load: What it says of its load; None is the truth.
-        shed: Whether it refuses all work.
-        silent: Whether it stops announcing itself.
-        truncate: Whether its answers break off half-way.
-        oversize: Bytes added to each answer.
-        extra_s: Seconds added to each operation.
+        health: Health that the target reports, whether true or not.
+        load: Load that it reports; None reports the actual load.
+        shed: Whether it refuses all requests.
+        silent: Whether it sends no announcements.
+        truncate: Whether its answers are cut off in the middle.
+        oversize: Number of bytes added to each answer.
+        extra_s: Time added to each operation, seconds.
     """
 
     health: str = "ok"
@@ -42,16 +42,16 @@
     """One operation that took effect.
 
     Attributes:
-        request: The caller's request id.
+        request: Id of the caller's request.
         run: Id of the leg.
-        key: The key.
-        slot: Its slot, as the daemon says.
+        key: Key of the request.
+        slot: Slot of the key, as sent by the daemon.
         fence: Fence of the slot.
-        owner: The incarnation that handed it over.
+        owner: Incarnation of the daemon that sent the request.
         operation: Method and path.
-        begun: Monotonic time when the run began, seconds.
+        begun: Monotonic time when the execution began, seconds.
         at: Monotonic time when it took effect, seconds.
-        target: This target's name.
+        target: Name of the target.
     """
 
     request: str
@@ -67,7 +67,12 @@
 
 
 class Target:
-    """State of the stand-in."""
+    """Executes requests; can refuse those that its grants do not cover.
+
+    Attributes:
+        announcement: Announcement that the target sends to its daemon.
+        faults: Faults that are currently injected.
+    """
 
     def __init__(
         self,
@@ -76,34 +81,35 @@
         work_ms: float,
         cold_s: float,
     ) -> None:
-        """Creates a target.
+        """Creates a target and opens its log.
 
         Args:
-            announcement: What it says of itself.
-            log: File for its runs, one JSON object a line.
-            work_ms: Mean time of an operation, milliseconds.
-            cold_s: Time during which it works ten times as slowly.
+            announcement: Announcement that the target sends to its daemon.
+            log: File for the run records, one JSON object a line.
+            work_ms: Mean duration of an operation, milliseconds.
+            cold_s: Time after the start during which operations take ten
+                times as long, seconds.
         """
         self.announcement = announcement
         self.faults = Faults()
-        self._log = open(log, "a", encoding="utf-8")  # noqa: SIM115
+        self._run_log = open(log, "a", encoding="utf-8")  # noqa: SIM115
         self._work_ms = work_ms
-        self._warm_at = time.monotonic() + cold_s
+        self._slow_until = time.monotonic() + cold_s
         self._lock = threading.Lock()
         self._running = 0
-        self._fences: dict[int, int] = {}
-        self._granted: dict[int, slots.SlotAssignment] = {}
-        self._granted_until = 0.0
-        self._granted_owner = ""
+        self._last_fences: dict[int, int] = {}
+        self._granted_slots: dict[int, slots.SlotAssignment] = {}
+        self._grant_expires_at = 0.0
+        self._grant_owner = ""
         self._cancelled: set[str] = set()
-        self._counts: dict[str, int] = {}
+        self._effect_counts: dict[str, int] = {}
         self._rng = random.Random(announcement.name)
 
-    def handle_request(self, query: httpd.Request) -> httpd.Response:
-        """Answers one request."""
-        path = query.path
+    def handle_request(self, request: httpd.Request) -> httpd.Response:
+        """Handles a request from the daemon, or to the stand-in's own paths."""
+        path = request.path
         if path == "/grant":
-            return self._grant(query)
+            return self._grant(request)
         if path.startswith("/cancel/"):
             self._cancelled.add(path.removeprefix("/cancel/"))
             return httpd.Response(200)
@@ -115,115 +121,116 @@
                 {"in_progress": self._running if load is None else load}
             )
         if path == "/faults":
-            known = msgspec.to_builtins(self.faults)
-            self.faults = msgspec.convert({**known, **query.json()}, Faults)
+            current = msgspec.to_builtins(self.faults)
+            self.faults = msgspec.convert({**current, **request.json()}, Faults)
             return httpd.json_response(self.faults)
         if path == "/leave":
             self.announcement = msgspec.structs.replace(
                 self.announcement, leaving=True
             )
             return httpd.Response(200)
-        return self._run(query)
+        return self._admit(request)
 
-    def _grant(self, query: httpd.Request) -> httpd.Response:
-        grant = msgspec.json.decode(query.body, type=targetclient.Grant)
+    def _grant(self, request: httpd.Request) -> httpd.Response:
+        grant = msgspec.json.decode(request.body, type=targetclient.Grant)
         with self._lock:
-            self._granted = slots.expand(grant.runs)
-            self._granted_until = grant.until
-            self._granted_owner = grant.owner
+            self._granted_slots = slots.expand(grant.runs)
+            self._grant_expires_at = grant.until
+            self._grant_owner = grant.owner
         return httpd.Response(200)
 
-    def _run(self, query: httpd.Request) -> httpd.Response:
+    def _admit(self, request: httpd.Request) -> httpd.Response:
         with self._lock:
             full = self._running >= self.announcement.slots
             if full or self.faults.shed:
-                return _not_run("full" if full else "shedding")
+                return _refuse("full" if full else "shedding")
             self._running += 1
         try:
-            return self._work(query)
+            return self._execute(request)
         finally:
             with self._lock:
                 self._running -= 1
 
-    def _work(self, query: httpd.Request) -> httpd.Response:
-        headers = query.headers
+    def _execute(self, request: httpd.Request) -> httpd.Response:
+        headers = request.headers
         slot = int(headers["x-slot"])
         fence = int(headers["x-fence"])
-        run = headers["x-run-id"]
+        leg_id = headers["x-run-id"]
         deadline = float(headers["x-deadline"])
-        begun = time.monotonic()
-        if b"crash-the-target" in query.body:
+        started_at = time.monotonic()
+        if b"crash-the-target" in request.body:
             os._exit(1)
-        wrong = self._wrong(slot, fence, headers["x-owner"])
-        if wrong:
-            return _not_run(wrong)
-        time.sleep(self._duration(query.path))
+        reason = self._refusal_reason(slot, fence, headers["x-owner"])
+        if reason:
+            return _refuse(reason)
+        time.sleep(self._work_time_s(request.path))
         with self._lock:
             now = time.monotonic()
-            wrong = self._wrong(slot, fence, headers["x-owner"])
-            if run in self._cancelled:
-                wrong = "cancelled"
+            reason = self._refusal_reason(slot, fence, headers["x-owner"])
+            if leg_id in self._cancelled:
+                reason = "cancelled"
             if now >= deadline:
-                wrong = "deadline"
-            if wrong:
-                return _not_run(wrong)
-            return self._take_effect(query, slot, fence, begun, now)
+                reason = "deadline"
+            if reason:
+                return _refuse(reason)
+            return self._take_effect(request, slot, fence, started_at, now)
 
-    def _duration(self, path: str) -> float:
+    def _work_time_s(self, path: str) -> float:
+        """Draws a duration; reports and rosters take ten times as long."""
         mean_s = self._work_ms / 1000
         if "report" in path or "roster" in path:
             mean_s *= 10
-        if time.monotonic() < self._warm_at:
+        if time.monotonic() < self._slow_until:
             mean_s *= 10
         return self._rng.uniform(0.5, 1.5) * mean_s + self.faults.extra_s
 
-    def _wrong(self, slot: int, fence: int, owner: str) -> str:
-        """Returns why an order must not take effect, or an empty text."""
+    def _refusal_reason(self, slot: int, fence: int, owner: str) -> str:
+        """Returns why a request must not take effect, or an empty text."""
         if not self.announcement.checks_grants:
             return ""
-        if time.monotonic() >= self._granted_until:
+        if time.monotonic() >= self._grant_expires_at:
             return "grant-expired"
-        held = self._granted.get(slot)
-        if held is None or owner != self._granted_owner:
+        assignment = self._granted_slots.get(slot)
+        if assignment is None or owner != self._grant_owner:
             return "not-granted"
-        if fence != held.fence or fence < self._fences.get(slot, 0):
+        if fence != assignment.fence or fence < self._last_fences.get(slot, 0):
             return "stale-fence"
         return ""
 
     def _take_effect(
         self,
-        query: httpd.Request,
+        request: httpd.Request,
         slot: int,
         fence: int,
-        begun: float,
+        started_at: float,
         now: float,
     ) -> httpd.Response:
-        headers = query.headers
+        headers = request.headers
         key = bytes.fromhex(headers["x-key"]).decode("utf-8")
-        self._fences[slot] = max(fence, self._fences.get(slot, 0))
-        self._counts[key] = self._counts.get(key, 0) + 1
-        done = RunRecord(
+        self._last_fences[slot] = max(fence, self._last_fences.get(slot, 0))
+        self._effect_counts[key] = self._effect_counts.get(key, 0) + 1
+        record = RunRecord(
             request=headers["x-request-id"],
             run=headers["x-run-id"],
             key=key,
             slot=slot,
             fence=fence,
             owner=headers["x-owner"],
-            operation=f"{query.method} {query.path}",
-            begun=begun,
+            operation=f"{request.method} {request.path}",
+            begun=started_at,
             at=now,
             target=self.announcement.name,
         )
-        self._log.write(msgspec.json.encode(done).decode() + "\n")
-        self._log.flush()
+        self._run_log.write(msgspec.json.encode(record).decode() + "\n")
+        self._run_log.flush()
         body = msgspec.json.encode(
             {
-                "request": done.request,
+                "request": record.request,
                 "key": key,
-                "operation": done.operation,
-                "echo": query.body.decode("utf-8", "replace"),
-                "count": self._counts[key],
-                "target": done.target,
+                "operation": record.operation,
+                "echo": request.body.decode("utf-8", "replace"),
+                "count": self._effect_counts[key],
+                "target": record.target,
                 "padding": "x" * self.faults.oversize,
             }
         )
@@ -232,37 +239,51 @@
         return httpd.Response(200, body)
 
     def send_announcements(self, daemon: str, stop: threading.Event) -> None:
-        """Announces itself to the daemon beside it, twice a second."""
+        """Announces the target to the local daemon until `stop` is set."""
         host, _, port = daemon.rpartition(":")
         while not stop.wait(0.5):
             if self.faults.silent:
                 continue
             try:
-                link = http.client.HTTPConnection(host, int(port), timeout=1)
+                connection = http.client.HTTPConnection(
+                    host, int(port), timeout=1
+                )
                 body = msgspec.json.encode(self.announcement)
-                link.request("POST", "/announce", body)
-                link.getresponse().read()
-                link.close()
+                connection.request("POST", "/announce", body)
+                connection.getresponse().read()
+                connection.close()
             except (OSError, http.client.HTTPException):
                 continue
 
 
-def _not_run(why: str) -> httpd.Response:
-    body = json.dumps({"not_run": why}).encode()
-    return httpd.Response(503, body, {"X-Not-Run": why})
+def _refuse(reason: str) -> httpd.Response:
+    body = json.dumps({"not_run": reason}).encode()
+    return httpd.Response(503, body, {"X-Not-Run": reason})
 
 
 @click.command()
 @click.option("--name", required=True)
 @click.option("--service", required=True)
-@click.option("--listen", required=True, help="ip:port to bind to.")
-@click.option("--daemon", required=True, help="ip:port of the daemon's HTTP.")
-@click.option("--slots", default=12, help="Requests at once.")
-@click.option("--connections", default=130, help="Connections accepted.")
+@click.option("--listen", required=True, help="Address to listen at, ip:port.")
+@click.option(
+    "--daemon", required=True, help="HTTP address of the local daemon, ip:port."
+)
+@click.option("--slots", default=12, help="Number of concurrent requests.")
+@click.option(
+    "--connections", default=130, help="Number of connections accepted."
+)
 @click.option("--checks-grants/--no-checks-grants", default=False)
-@click.option("--work-ms", default=3.0, help="Mean time of an operation.")
-@click.option("--cold-s", default=0.0, help="Time of a slow start.")
-@click.option("--log", required=True, help="File for the runs.")
+@click.option(
+    "--work-ms",
+    default=3.0,
+    help="Mean duration of an operation, milliseconds.",
+)
+@click.option(
+    "--cold-s",
+    default=0.0,
+    help="Time of slow operation after the start, seconds.",
+)
+@click.option("--log", required=True, help="File for the run records.")
 def main(
     name: str,
     service: str,
@@ -275,15 +296,15 @@
     cold_s: float,
     log: str,
 ) -> None:
-    """Runs a target's stand-in until it is stopped."""
+    """Runs the stand-in until it is stopped."""
     announcement = targetclient.Announcement(
         name, service, listen, slots, connections, checks_grants
     )
-    state = Target(announcement, log, work_ms, cold_s)
-    server = httpd.serve(listen, state.handle_request)
+    target = Target(announcement, log, work_ms, cold_s)
+    server = httpd.serve(listen, target.handle_request)
     stop = threading.Event()
     threading.Thread(
-        target=state.send_announcements, args=(daemon, stop), daemon=True
+        target=target.send_announcements, args=(daemon, stop), daemon=True
     ).start()
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     server.serve_forever()
