--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -102,17 +102,17 @@
 
     def _commit(self, body: dict) -> httpd.Response:
         with self._changed:
-            current = []
+            current_rows = []
             checks_hold = True
             for entry in body.get("expected_revision", []):
                 row_id = (entry["table"], entry["part"], entry["key"])
                 row = self._rows.get(row_id)
                 checks_hold &= (row[1] if row else 0) == entry["ver"]
                 if row:
-                    current.append(self._row(row_id))
+                    current_rows.append(self._row(row_id))
             if not checks_hold:
                 return _json_response(
-                    412, rows=current, **self._version_and_time()
+                    412, rows=current_rows, **self._version_and_time()
                 )
             self._version += 1
             self.committed_transactions += 1
