--- a/tamarackgap/requests/__init__.py
+++ b/tamarackgap/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Handles requests that come through the product's own HTTP interface."""
+"""Routes requests that arrive through tamarackgap's own HTTP interface."""
--- a/tamarackgap/requests/executor.py
+++ b/tamarackgap/requests/executor.py
@@ -38,7 +38,7 @@
         deadline: The caller's deadline, monotonic seconds of this VM.
         reply: Called once with the reply.
         fingerprint: Hash of what the request asks for.
-        exclusive: Whether the target may execute nothing else meanwhile.
+        exclusive: Whether it must be the only request at the target.
         started_at: Time at which it was sent to the target, monotonic
             seconds.
         cancel: Cancels the request at the target; None until it is sent.
@@ -114,7 +114,7 @@
         return self._target_health.is_healthy(self._clock())
 
     def slot_loads(self) -> dict[int, float]:
-        """Returns requests a second of each owned slot."""
+        """Returns the rate of requests for each owned slot, per second."""
         since = {
             slot: owned_slot.since
             for slot, owned_slot in self._core.owned.items()
@@ -204,9 +204,10 @@
     def _known_result(
         self, forward: messages.Forward
     ) -> verdicts.Result | None:
-        """Returns the result of a request that must not be executed.
+        """Returns the result for a request that may have been executed before.
 
-        Returns None if the request was certainly not executed before.
+        It is the recorded result, or a refusal if there is none yet or none is
+        kept. Returns None if the request was certainly not executed before.
         """
         owned_slot = self._core.find(forward.slot)
         wall_ms = self._wall_ms()
@@ -296,7 +297,7 @@
             self._running_per_slot[slot] = remaining
         if not leg.forward.idempotent:
             self._dedup_cache.record_result(leg.forward.request_id, outcome)
-        self._learn_from(leg, outcome)
+        self._record_outcome(leg, outcome)
         self._finish(leg, outcome)
 
     def _is_newly_quarantined(self, leg: Leg, now: float) -> bool:
@@ -305,7 +306,7 @@
             not leg.exclusive and state is not quarantine.QuarantineState.CLEAR
         )
 
-    def _learn_from(self, leg: Leg, outcome: verdicts.Result) -> None:
+    def _record_outcome(self, leg: Leg, outcome: verdicts.Result) -> None:
         """Updates limits, health and quarantine from a result."""
         now = self._clock()
         refusal = outcome.swap().value_or(None)
--- a/tamarackgap/requests/forwarder.py
+++ b/tamarackgap/requests/forwarder.py
@@ -21,11 +21,12 @@
 
 _FIRST_BACKOFF_S = 0.005
 _MAX_BACKOFF_S = 0.04
-# Time after the deadline for a reply that the owner has already sent.
+# Time that a request waits beyond its deadline, since the owner's reply may be
+# on its way.
 _DEADLINE_GRACE_S = 0.03
 
 # Reasons that may no longer apply when the request is forwarded again.
-_RETRYABLE = frozenset(
+_RETRYABLE_REASONS = frozenset(
     {
         types.Reason.WRONG_OWNER,
         types.Reason.SLOT_MOVING,
@@ -39,7 +40,9 @@
     }
 )
 # Reasons for which the request was not sent to another daemon.
-_LOCAL = frozenset({types.Reason.NO_OWNER, types.Reason.PEER_UNREACHABLE})
+_UNSENT_REASONS = frozenset(
+    {types.Reason.NO_OWNER, types.Reason.PEER_UNREACHABLE}
+)
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
@@ -333,12 +336,12 @@
     def _may_retry(
         self, pending: PendingRequest, refusal: verdicts.Refusal
     ) -> bool:
-        if refusal.reason not in _RETRYABLE:
+        if refusal.reason not in _RETRYABLE_REASONS:
             return False
         if refusal.may_have_run and not pending.request.idempotent:
             return False
         # A leg that was not sent added no load, so its retry needs no token.
-        return refusal.reason in _LOCAL or self._budget.withdraw()
+        return refusal.reason in _UNSENT_REASONS or self._budget.withdraw()
 
     def _expire(self, pending: PendingRequest) -> None:
         if pending.on_done is None:
@@ -377,10 +380,10 @@
         if pending.leg:
             self._pending_by_leg.pop(pending.leg, None)
         self._in_flight -= 1
-        self._report(pending, outcome)
+        self._record_result(pending, outcome)
         on_done(outcome)
 
-    def _report(
+    def _record_result(
         self, pending: PendingRequest, outcome: verdicts.Result
     ) -> None:
         refusal = outcome.swap().value_or(None)
--- a/tamarackgap/requests/granting.py
+++ b/tamarackgap/requests/granting.py
@@ -35,10 +35,10 @@
         self._granted_version = 0
 
     def renew(self) -> None:
-        """Sends a grant if the last one no longer fits.
+        """Sends a grant if the slots have changed or the lease was extended.
 
-        That is so once the slots have changed or the lease's end has moved
-        far enough. Nothing is sent after the lease has ended.
+        A small extension is not sent yet. Nothing is sent after the lease has
+        ended.
         """
         if not self._target.checks_grants:
             return
--- a/tamarackgap/requests/limiter.py
+++ b/tamarackgap/requests/limiter.py
@@ -8,7 +8,7 @@
 # Factor on the limit each time the target refuses a request.
 _DECREASE_FACTOR = 0.7
 # Lower bound of the limit, as a share of the limit that was set.
-_MIN_SHARE = 0.1
+_MIN_LIMIT_SHARE = 0.1
 # A new target gets a share of the limit, which rises to 1 in this time.
 _WARM_UP_S = 5.0
 _WARM_UP_FIRST_SHARE = 0.25
@@ -22,7 +22,7 @@
         start: Called when it may be sent to the target.
         shed: Called if it is removed from the queue instead.
         urgent: Whether it goes before those that are not urgent.
-        exclusive: Whether the target may execute nothing else meanwhile.
+        exclusive: Whether it must be the only request at the target.
     """
 
     deadline: float
@@ -45,8 +45,8 @@
         self._in_progress = 0
         self._max_in_progress = 0
         self._queue_limit = 0
-        self._share = 1.0
-        self._warm_at = 0.0
+        self._limit_share = 1.0
+        self._warm_up_end = 0.0
         self._runs_exclusive = False
         self._exclusive: collections.deque[QueuedRequest] = collections.deque()
         self._urgent: collections.deque[QueuedRequest] = collections.deque()
@@ -74,9 +74,9 @@
         """
         if not self._max_in_progress:
             return 0
-        share = self._share
-        if now < self._warm_at:
-            time_left = (self._warm_at - now) / _WARM_UP_S
+        share = self._limit_share
+        if now < self._warm_up_end:
+            time_left = (self._warm_up_end - now) / _WARM_UP_S
             share = min(share, 1 - (1 - _WARM_UP_FIRST_SHARE) * time_left)
         return max(1, int(self._max_in_progress * share))
 
@@ -94,20 +94,22 @@
             now: Monotonic time, seconds.
         """
         if max_in_progress and not self._max_in_progress:
-            self._warm_at = now + _WARM_UP_S
-            self._share = 1.0
+            self._warm_up_end = now + _WARM_UP_S
+            self._limit_share = 1.0
         self._max_in_progress = max_in_progress
         self._queue_limit = queue_limit
 
     def record_overload(self) -> None:
         """Lowers the limit, since the target has refused a request."""
-        self._share = max(_MIN_SHARE, self._share * _DECREASE_FACTOR)
+        self._limit_share = max(
+            _MIN_LIMIT_SHARE, self._limit_share * _DECREASE_FACTOR
+        )
 
     def record_answer(self) -> None:
         """Raises the limit slowly, since the target has answered."""
         if self._max_in_progress:
-            self._share = min(
-                1.0, self._share + 1 / (self._max_in_progress * 10)
+            self._limit_share = min(
+                1.0, self._limit_share + 1 / (self._max_in_progress * 10)
             )
 
     def admit(self, request: QueuedRequest, now: float) -> bool:
--- a/tamarackgap/requests/quarantine.py
+++ b/tamarackgap/requests/quarantine.py
@@ -39,10 +39,10 @@
 
 
 def digest(parts: Iterable[str], body: bytes) -> str:
-    """Returns a hash of some texts and a body.
+    """Returns a hash of strings and a body.
 
-    The length of each text is hashed too, so that the same characters in
-    another division give another hash.
+    The length of each string is hashed too, so that the same characters split
+    at another place give another hash.
     """
     hasher = xxhash.xxh3_128()
     for part in parts:
--- a/tamarackgap/requests/retries.py
+++ b/tamarackgap/requests/retries.py
@@ -17,7 +17,7 @@
 
     @property
     def tokens(self) -> float:
-        """Number of retries allowed at present."""
+        """Number of tokens held; a retry takes one."""
         return self._tokens
 
     def resize(self, burst: float) -> None:
@@ -42,7 +42,7 @@
 
     In any window, all daemons together may retry a share of the requests plus
     a fixed number. Each daemon counts only its own requests and its own part
-    of the fixed number, so that the sum holds without messages.
+    of the fixed number, so the daemons need no messages to keep to the sum.
     """
 
     def __init__(self, ratio: float, extra: float) -> None:
@@ -59,7 +59,7 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def resize(self, ratio: float, extra: float) -> None:
-        """Sets both amounts, and starts all budgets afresh."""
+        """Sets both amounts and discards all budgets; new ones start full."""
         self._ratio = ratio / 2
         self._extra = extra / 2
         self._budgets.clear()
--- a/tamarackgap/requests/web.py
+++ b/tamarackgap/requests/web.py
@@ -114,10 +114,10 @@
             timeout, lambda: self._drop(sock, _MALFORMED, "incomplete")
         )
 
-    def _drop(self, sock: object, response: bytes, why: str) -> None:
+    def _drop(self, sock: object, response: bytes, cause: str) -> None:
         """Sends a refusal and closes the connection."""
         self._remove_partial(sock)
-        logs.event("connection_dropped", why=why)
+        logs.event("connection_dropped", why=cause)
         self.fire(net_events.write(sock, response))
         self.fire(net_events.close(sock))
 
--- a/tamarackgap/traffic/__init__.py
+++ b/tamarackgap/traffic/__init__.py
@@ -1,1 +1,1 @@
-"""Routes requests from callers to the targets that run them."""
+"""Routes requests for an embedder that provides the store and the codecs."""
--- a/tamarackgap/traffic/adapter.py
+++ b/tamarackgap/traffic/adapter.py
@@ -73,13 +73,13 @@
         """
 
     def skip_pause(self) -> None:
-        """Reads the next changes now if a pause after the last read is on."""
+        """Ends the pause after a read, if any, so that the next starts now."""
 
     def set_pause(self, pause: float) -> None:
-        """Sets how long changes of rows are collected before they are read.
+        """Sets the pause between two reads, in which changes are collected.
 
         Args:
-            pause: Time from one read to the next, seconds.
+            pause: The pause, seconds.
         """
 
     def commit(
--- a/tamarackgap/traffic/admission.py
+++ b/tamarackgap/traffic/admission.py
@@ -37,7 +37,7 @@
 # Below this many offered calls a kind has no meaningful served share.
 _MIN_OFFERED_CALLS = 5
 # A caller that retried sooner would hardly find capacity free.
-_MIN_RETRY_S = 0.05
+_MIN_RETRY_AFTER_S = 0.05
 # Half-life of the measured capacity usage of each rank.
 _USAGE_HALF_LIFE_S = 1.0
 # Share of the capacity that each rank is assumed to get at least.
@@ -145,10 +145,9 @@
     """Queues the calls for one target and limits how many run at once."""
 
     def __init__(self) -> None:
-        # By kind: a rank and a latency objective.
-        self._served: dict[tuple[int, float], _ServedShare] = {}
-        # By rank.
-        self._usage: dict[int, _CapacityUsage] = {}
+        # A kind is a rank and a latency objective.
+        self._share_by_kind: dict[tuple[int, float], _ServedShare] = {}
+        self._usage_by_rank: dict[int, _CapacityUsage] = {}
         self._capacity = 0
         # Share of the capacity that is used.
         self._capacity_share = 1.0
@@ -260,7 +259,7 @@
         while self._queue and self._running < self.capacity:
             call = min(self._queue, key=lambda c: self._sort_key(c, now))
             if not self._can_finish(call, now):
-                self._refuse(call, _MIN_RETRY_S, 0.0)
+                self._refuse(call, _MIN_RETRY_AFTER_S, 0.0)
                 continue
             self._queue.remove(call)
             self._start(call, now)
@@ -291,7 +290,7 @@
     def refuse_all(self) -> None:
         """Refuses all queued calls."""
         while self._queue:
-            self._refuse(self._queue[0], _MIN_RETRY_S, math.inf)
+            self._refuse(self._queue[0], _MIN_RETRY_AFTER_S, math.inf)
 
     def _refuse(
         self, call: QueuedCall, retry_after: float, wait: float
@@ -309,18 +308,18 @@
     def _start(self, call: QueuedCall, now: float) -> None:
         if not self._is_late(call, now):
             self._served_share(call, now).record_start()
-        usage = self._usage.get(call.rank)
+        usage = self._usage_by_rank.get(call.rank)
         if usage is None:
-            usage = self._usage[call.rank] = _CapacityUsage(now)
+            usage = self._usage_by_rank[call.rank] = _CapacityUsage(now)
         usage.record_start(self.expected_duration(call.latency_objective), now)
         self._running += 1
         call.start()
 
     def _served_share(self, call: QueuedCall, now: float) -> _ServedShare:
         kind = (call.rank, call.latency_objective)
-        served = self._served.get(kind)
+        served = self._share_by_kind.get(kind)
         if served is None:
-            served = self._served[kind] = _ServedShare(now)
+            served = self._share_by_kind[kind] = _ServedShare(now)
         return served
 
     def _is_late(self, call: QueuedCall, now: float) -> bool:
@@ -357,14 +356,14 @@
         ) / self._available_capacity(call.rank, now)
 
     def _available_capacity(self, rank: int, now: float) -> float:
-        """Returns how much capacity the ranks before a rank leave to it.
+        """Returns the capacity that calls of higher priority leave to a rank.
 
-        Calls of those ranks keep arriving, so their recent usage is subtracted
-        even when none of them is queued.
+        Calls of higher priority keep arriving, so their recent usage is
+        subtracted even when none of them is queued.
         """
         used = sum(
             usage.running_calls(now)
-            for other, usage in self._usage.items()
+            for other, usage in self._usage_by_rank.items()
             if other < rank
         )
         capacity = max(1, self.capacity)
@@ -378,7 +377,7 @@
             if other is not call and other.rank <= call.rank
         )
         return max(
-            _MIN_RETRY_S, ahead / self._available_capacity(call.rank, now)
+            _MIN_RETRY_AFTER_S, ahead / self._available_capacity(call.rank, now)
         )
 
     def _can_finish(self, call: QueuedCall, now: float) -> bool:
--- a/tamarackgap/traffic/balancer.py
+++ b/tamarackgap/traffic/balancer.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-# A daemon that has not reported for this long gets no new calls. One that
-# reports seldom may stay silent for _SILENCE_INTERVALS of its report intervals,
+# A daemon that has not reported for this long gets no new calls. If its report
+# interval is long, the limit is _SILENCE_INTERVALS of these intervals instead,
 # since one report may be lost.
 SILENCE_TIMEOUT_S = 1.2
 _SILENCE_INTERVALS = 2.4
@@ -25,9 +25,10 @@
 _INITIAL_RELATIVE_LATENCY = 0.3
 # Estimates that exceed the best by up to this share count as equal to it.
 _TIE_MARGIN = 0.1
-# Of more targets than this, only two are drawn and compared. In bench/loads.py
-# comparing all is as good with 6 targets; with 8, two calls in a hundred fewer
-# are answered within their latency objective, with 24 a tenth fewer.
+# Of more targets than this, only two are drawn and compared. In bench/loads.py,
+# comparing all targets is as good as drawing two with 6 targets. With 8, two
+# calls in a hundred fewer are answered within their latency objective, and with
+# 24 a tenth fewer.
 _MAX_COMPARED = 6
 
 
@@ -141,7 +142,8 @@
         candidates: Targets of the call's service.
         tried: Incarnations that have been tried and are left out.
         now: Monotonic time, seconds.
-        rng: Breaks ties, so that daemons do not all choose the same target.
+        rng: Draws two of many targets and breaks ties, so that daemons do not
+            all choose the same target.
         data_centre: The data centre that is preferred among targets that are
             about as good as the best, since traffic between data centres is
             costly.
@@ -171,10 +173,10 @@
     ]
     limit = min(estimate for estimate, _ in estimates) * (1 + _TIE_MARGIN)
     best = [candidate for estimate, candidate in estimates if estimate <= limit]
-    nearby = [
+    preferred = [
         candidate for candidate in best if candidate.data_centre == data_centre
     ]
-    return rng.choice(nearby or best)
+    return rng.choice(preferred or best)
 
 
 def _draw_two(
@@ -194,12 +196,14 @@
         / (1.0 + _FAILURE_COST * candidate.failure_ratio(now))
         for candidate in usable
     ]
-    nearby = [
+    preferred_weights = [
         weight if candidate.data_centre == data_centre else 0.0
         for candidate, weight in zip(usable, weights, strict=True)
     ]
     indexes = range(len(usable))
-    first = rng.choices(indexes, nearby if any(nearby) else weights)[0]
+    first = rng.choices(
+        indexes, preferred_weights if any(preferred_weights) else weights
+    )[0]
     weights[first] = 0.0
     second = rng.choices(indexes, weights)[0]
     return [usable[first], usable[second]]
--- a/tamarackgap/traffic/crashes.py
+++ b/tamarackgap/traffic/crashes.py
@@ -13,8 +13,8 @@
 from tamarackgap.peers import calls
 from tamarackgap.requests import quarantine
 
-# One crash may have any cause; a request that ran at two crashes, one after the
-# other, is barred.
+# One crash may have any cause; a request that was running during two crashes,
+# one after the other, is barred.
 _BARRING_CRASHES = 2
 # Time for which a request is barred. After that it may run once more, and one
 # more crash bars it again.
--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -25,7 +25,7 @@
 _MOVE_RETRY_PAUSE_S = 0.02
 # Share of the latency objective that a request may wait for a moving slot.
 _MAX_MOVE_WAIT_SHARE = 0.6
-# Retry advice where a key has no owner: a lease has to end first.
+# Retry advice if a key has no owner: the last owner's lease has to end first.
 _NO_OWNER_RETRY_S = 0.3
 _DEFAULT_RETRY_S = 0.1
 # A request that may have run is sent again only if this share of its latency
@@ -210,7 +210,7 @@
         """Cancels a request whose caller has gone away."""
         if pending.done is None:
             return
-        # The completion is still logged and counted.
+        # The caller gets no response; the completion is logged and counted.
         pending.done = _discard
         self._withdraw_leg(pending)
         self._finish(
@@ -302,10 +302,13 @@
         if service_record is None:
             return types.NO_INCARNATION, types.Reason.NO_OWNER
         slot = slots.slot_of_position(position, service_record.slots)
-        found = self._core.slot_owners.find(pending.service, slot)
-        if found is None or self._core.view.lease(found.owner) is None:
+        slot_owner = self._core.slot_owners.find(pending.service, slot)
+        if (
+            slot_owner is None
+            or self._core.view.lease(slot_owner.owner) is None
+        ):
             return types.NO_INCARNATION, types.Reason.NO_OWNER
-        return found.owner, None
+        return slot_owner.owner, None
 
     def _dispatch(
         self, pending: PendingRequest, candidate: balancer.Candidate, now: float
@@ -329,14 +332,18 @@
         pending.runs += 1
         candidate.sent_since_report += 1
         self._by_leg[leg] = pending
-        own = self._core.incarnation
-        if candidate.incarnation == own:
+        own_incarnation = self._core.incarnation
+        if candidate.incarnation == own_incarnation:
             self._runner.submit(
-                dispatch, own, functools.partial(self.handle_completion, own)
+                dispatch,
+                own_incarnation,
+                functools.partial(self.handle_completion, own_incarnation),
             )
             return
         address = self._targets.address(candidate.incarnation)
-        if not address or not self._peer_transport.send(own, address, dispatch):
+        if not address or not self._peer_transport.send(
+            own_incarnation, address, dispatch
+        ):
             self._by_leg.pop(leg, None)
             pending.leg = 0
             candidate.record_failure(now)
@@ -362,7 +369,7 @@
         self._finish(pending, completion)
 
     def _record_outcome(self, pending: PendingRequest, failed: bool) -> None:
-        """Records for the balancer whether the last leg's target did well."""
+        """Counts the last leg as a failure or a success of its target."""
         candidate = pending.candidate
         if candidate is None:
             return
@@ -374,7 +381,7 @@
     def _handle_failure(
         self, pending: PendingRequest, completion: calls.Completion
     ) -> None:
-        """Sends a leg without an answer again, or ends the request."""
+        """Sends the next leg after one without answer, or ends the request."""
         reason = completion.reason
         may_have_run = completion.verdict is types.Verdict.MAY_HAVE_RUN
         pending.may_have_run |= may_have_run
@@ -409,7 +416,7 @@
     def _may_rerun(self, pending: PendingRequest) -> bool:
         """Returns whether a request that may have run is sent again.
 
-        If so, takes a token from the service's retry budget.
+        If it is, a token is taken from the service's retry budget.
         """
         now = self._timers.now
         return (
@@ -442,8 +449,9 @@
     ) -> bool:
         """Returns whether a request is sent to the owner of its key again.
 
-        TARGET_REFUSED is not a lack of room, so the next leg may succeed. If it
-        is sent, takes a token from the service's retry budget.
+        It is sent again only after TARGET_REFUSED, which is not a lack of room,
+        so the next leg may succeed. A token is then taken from the service's
+        retry budget.
         """
         return (
             reason is types.Reason.TARGET_REFUSED
@@ -459,7 +467,7 @@
         Otherwise, or once it has waited too long, ends the request.
         """
         now = self._timers.now
-        until = (
+        wait_until = (
             pending.begun
             + pending.route.latency_objective * _MAX_MOVE_WAIT_SHARE
         )
@@ -468,7 +476,7 @@
             types.Reason.WRONG_OWNER,
         )
         if is_moving and now + _MOVE_RETRY_PAUSE_S < min(
-            until, pending.deadline
+            wait_until, pending.deadline
         ):
             pending.runs = 0
             self._timers.after(
@@ -502,13 +510,15 @@
         if not pending.leg or pending.candidate is None:
             return
         owner = pending.candidate.incarnation
-        own = self._core.incarnation
-        if owner == own:
-            self._runner.withdraw(own, pending.leg)
+        own_incarnation = self._core.incarnation
+        if owner == own_incarnation:
+            self._runner.withdraw(own_incarnation, pending.leg)
             return
         address = self._targets.address(owner)
         if address:
-            self._peer_transport.send(own, address, calls.Withdraw(pending.leg))
+            self._peer_transport.send(
+                own_incarnation, address, calls.Withdraw(pending.leg)
+            )
 
     def _handle_deadline(self, pending: PendingRequest) -> None:
         if pending.done is None:
--- a/tamarackgap/traffic/localtarget.py
+++ b/tamarackgap/traffic/localtarget.py
@@ -11,7 +11,7 @@
 
 
 class Phase(enum.Enum):
-    """Whether calls may be sent to the target.
+    """State of the target, which decides whether calls may be sent to it.
 
     A leaving target ends its running calls and accepts no new ones.
     """
@@ -49,8 +49,9 @@
     """What an announcement, a refused connection or silence has changed."""
 
     NONE = "none"
-    # Another process of the target; it holds no slots.
+    # A new process of the target has announced itself. It holds no slots yet.
     NEW_PROCESS = "new-life"
+    # The same process announces itself again after it was lost or silent.
     RETURNED = "back"
     LEAVING = "leaving"
     # The target refuses connections, so its process has ended.
@@ -139,7 +140,11 @@
         )
 
     def handle_connection_refused(self) -> Transition:
-        """Records that the target refuses connections."""
+        """Records that the target refuses connections.
+
+        Returns:
+            LOST, or NONE if the target was absent already.
+        """
         if self.phase is Phase.ABSENT:
             return Transition.NONE
         self.phase = Phase.ABSENT
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -165,7 +165,7 @@
         self._admission.resize(capacity, self._timers.now)
 
     def drain(self) -> None:
-        """Starts to drain.
+        """Starts to refuse calls, since the target or its daemon is leaving.
 
         Calls of a keyed service are run for _DRAIN_TIME_S more, since its keys
         are still owned here; other calls are refused at once or when their
@@ -237,7 +237,8 @@
             return
         self._legs[sender, dispatch.leg] = leg
         if self.keyed:
-            # Calls that are then refused for lack of room are load as well.
+            # Counted before admission, since calls that are refused for lack of
+            # room are load as well.
             amount = (
                 self._admission.expected_duration(dispatch.latency_objective)
                 / _LOAD_UNIT_S
@@ -356,7 +357,7 @@
         leg: Leg,
         outcome: result.Result[httppool.Answer, exchanges.Failure],
     ) -> None:
-        """Interprets what an exchange with the target ended with."""
+        """Completes a call with the outcome of its exchange with the target."""
         now = self._timers.now
         duration: float | None = None
         match outcome:
@@ -389,6 +390,8 @@
         if failure.cause is exchanges.Cause.REFUSED:
             self._on_connection_refused()
         if not failure.sent:
+            # An exchange is cancelled before it is sent if `_encode` finds that
+            # its time has run out.
             is_late = failure.cause is exchanges.Cause.CANCELLED
             return calls.Completion(
                 leg.dispatch.leg,
@@ -400,7 +403,7 @@
         return calls.Completion(
             leg.dispatch.leg,
             types.Verdict.MAY_HAVE_RUN,
-            _REASONS[failure.cause],
+            _REASON_BY_CAUSE[failure.cause],
         )
 
     def _record_broken_run(self, leg: Leg) -> None:
@@ -491,7 +494,7 @@
         )
 
 
-_REASONS = {
+_REASON_BY_CAUSE = {
     exchanges.Cause.REFUSED: types.Reason.TARGET_ABSENT,
     exchanges.Cause.UNREACHABLE: types.Reason.TARGET_ABSENT,
     exchanges.Cause.CLOSED: types.Reason.TARGET_FAILED,
--- a/tamarackgap/traffic/slotgrants.py
+++ b/tamarackgap/traffic/slotgrants.py
@@ -39,8 +39,8 @@
     """Orders the target to hold a range of slots for some time.
 
     Attributes:
-        first: First position of the keys.
-        last: Last position of the keys, inclusive.
+        first: First key position of the range.
+        last: Last key position of the range, inclusive.
         fence: The fence that is sent to the target.
         hold_s: Hold time from the arrival of the grant, seconds.
         handover: Text that the previous holder returned with its release, or
@@ -61,8 +61,8 @@
     """Orders the target to release a range of slots.
 
     Attributes:
-        first: First position of the keys.
-        last: Last position of the keys, inclusive.
+        first: First key position of the range.
+        last: Last key position of the range, inclusive.
         fence: The fence that was sent with the latest grant.
     """
 
@@ -181,12 +181,12 @@
         )
 
     def is_confirmed(self, slot: int) -> bool:
-        """Returns whether no earlier grant of a slot can take effect later.
+        """Returns whether the latest grant of a slot has been acknowledged.
 
         A grant without an answer may be executed much later. If the slot has
         moved by then, the target would accept it under an outdated fence,
-        unless it has seen a higher one itself. So the latest grant must have
-        been acknowledged.
+        unless it has seen a higher fence itself. A grant sent after an
+        unanswered one has a higher fence.
         """
         state = self._by_slot.get(slot)
         return state is not None and state.confirmed and not state.asking
@@ -314,7 +314,7 @@
             return
         # A grant whose release is not acknowledged expires on its own when its
         # hold time ends.
-        ends = max(self._by_slot[slot].ends for slot in held)
+        latest_end = max(self._by_slot[slot].ends for slot in held)
         handovers: dict[slots.SlotRange, str] = {}
         self._pending_releases += len(ranges)
         for slot_range in ranges:
@@ -346,7 +346,7 @@
                     first=slot_range.first,
                     last=slot_range.last,
                 )
-                wait = max(0.0, ends - self._timers.now)
+                wait = max(0.0, latest_end - self._timers.now)
                 self._timers.after(wait, lambda: finish(slot_range, ""))
             else:
                 finish(slot_range, result.handover)
@@ -429,8 +429,10 @@
             self._unanswered_counts.get(slot, (0, 0))
             for slot in range(slot_range.first, slot_range.last + 1)
         )
-        same = (count for fence, count in counts if fence == slot_range.fence)
-        return max(same, default=0)
+        counts_of_fence = (
+            count for fence, count in counts if fence == slot_range.fence
+        )
+        return max(counts_of_fence, default=0)
 
     def _record_unanswered(self, state: _RangeState) -> None:
         state.confirmed = False
--- a/tamarackgap/traffic/slotrelease.py
+++ b/tamarackgap/traffic/slotrelease.py
@@ -25,7 +25,7 @@
         self._grants = grants
         self._done = done
         # Rises when a release begins or ends, to tell releases apart.
-        self._number = 0
+        self._release_number = 0
 
     def begin(self, moving: frozenset[int]) -> None:
         """Begins a release; calls for the slots are refused from now on.
@@ -33,19 +33,20 @@
         Args:
             moving: The slots that are going to move.
         """
-        self._number += 1
+        self._release_number += 1
         self._grants.release(
-            moving, functools.partial(self._handle_released, self._number)
+            moving,
+            functools.partial(self._handle_released, self._release_number),
         )
 
     def end(self) -> None:
         """Ends the release, whether its slots have moved or stay."""
-        self._number += 1
+        self._release_number += 1
         self._grants.end_release()
 
     def _handle_released(
-        self, number: int, handovers: dict[slots.SlotRange, str]
+        self, release_number: int, handovers: dict[slots.SlotRange, str]
     ) -> None:
         # An earlier release may be answered after the lease was lost.
-        if number == self._number:
+        if release_number == self._release_number:
             self._done(handovers)
--- a/tamarackgap/traffic/targets.py
+++ b/tamarackgap/traffic/targets.py
@@ -29,7 +29,7 @@
         # By the incarnations of their daemons.
         self._candidates: dict[str, balancer.Candidate] = {}
         self._addresses: dict[str, str] = {}
-        self._incarnations_at: dict[str, set[str]] = {}
+        self._incarnations_by_address: dict[str, set[str]] = {}
 
     def update_status(
         self, sender: str, address: str, status: calls.TargetStatus
@@ -47,7 +47,7 @@
         """
         others = [
             name
-            for name in self._incarnations_at.get(address, ())
+            for name in self._incarnations_by_address.get(address, ())
             if name != sender
         ]
         candidate = self._candidates.get(sender)
@@ -131,7 +131,7 @@
         A daemon that has given up its lease is included, since it still
         accepts calls until it ends.
         """
-        return set(self._incarnations_at)
+        return set(self._incarnations_by_address)
 
     def has_room(self, service: str) -> bool:
         """Returns whether a target of a service can run one more call now."""
@@ -174,16 +174,18 @@
         if previous != address:
             self._remove_address(incarnation)
             self._addresses[incarnation] = address
-            self._incarnations_at.setdefault(address, set()).add(incarnation)
+            self._incarnations_by_address.setdefault(address, set()).add(
+                incarnation
+            )
 
     def _remove_address(self, incarnation: str) -> None:
         address = self._addresses.pop(incarnation, None)
         if address is None:
             return
-        names = self._incarnations_at[address]
+        names = self._incarnations_by_address[address]
         names.discard(incarnation)
         if not names:
-            del self._incarnations_at[address]
+            del self._incarnations_by_address[address]
 
     def _set_load(self, candidate: balancer.Candidate, load: int) -> None:
         candidate.reported_load = load
--- a/tests/traffic/test_runner.py
+++ b/tests/traffic/test_runner.py
@@ -12,7 +12,7 @@
 CAPACITY = 12
 
 
-class RefusingTarget:
+class RefusingTargetHarness:
     """A runner whose target refuses each call at once for one reason."""
 
     def __init__(self, reason):
@@ -40,7 +40,7 @@
     def _renew_soon(self):
         self.renewals += 1
 
-    def _send(self, data, timeout, done, belongs):
+    def _send(self, data, timeout, done, is_answer):
         done(result.Success(httppool.Answer(503, [], b"")))
 
     def _decode_answer(self, leg, answer):
@@ -68,14 +68,14 @@
 def test_reaction_to_refusal_depends_on_reason(
     reason, keeps_capacity, renewals
 ):
-    subject = RefusingTarget(reason)
+    subject = RefusingTargetHarness(reason)
     for _ in range(5):
         assert subject.call().reason is reason
     assert (subject.runner.queue.capacity == CAPACITY) is keeps_capacity
     assert (subject.renewals > 0) is (renewals > 0)
 
 
-class ControlledTarget:
+class ControlledTargetHarness:
     """A runner whose target ends each call when the test says so."""
 
     def __init__(self):
@@ -104,7 +104,7 @@
         )
         self.runner.attach("target", CAPACITY)
 
-    def _send(self, build, timeout, done, belongs):
+    def _send(self, build, timeout, done, is_answer):
         self.sent.append(done)
         return object()
 
@@ -128,7 +128,7 @@
 
 
 def test_call_sent_after_crash_is_not_its_cause():
-    subject = ControlledTarget()
+    subject = ControlledTargetHarness()
     subject.call("/deadly")
     subject.end(0, broken=True)
     # Sent before the router has noticed the crash.
@@ -138,7 +138,7 @@
 
 
 def test_broken_connection_followed_by_answer_is_no_crash():
-    subject = ControlledTarget()
+    subject = ControlledTargetHarness()
     subject.call("/cut")
     subject.end(0, broken=True)
     subject.timers.now += 0.5
@@ -150,7 +150,7 @@
 
 
 def test_all_calls_running_at_crash_may_be_its_cause():
-    subject = ControlledTarget()
+    subject = ControlledTargetHarness()
     for path in ("/a", "/b", "/c"):
         subject.call(path)
     for index in range(3):
@@ -161,7 +161,7 @@
 def test_calls_for_earlier_incarnation_are_run():
     # A daemon that had left its lease refused the calls that were queued under
     # its earlier incarnation.
-    subject = ControlledTarget()
+    subject = ControlledTargetHarness()
     for _ in range(CAPACITY + 1):
         subject.call("/waits", owner="earlier")
     subject.end(0, broken=False)
--- a/tests/traffic/test_slotgrants.py
+++ b/tests/traffic/test_slotgrants.py
@@ -169,8 +169,7 @@
 
 def test_nothing_is_granted_between_release_all_and_reset(subject):
     # A planned move that ended in that time granted the slots once more, and
-    # the successor's target held them too. Found by the OWNER check of a run
-    # under faults.
+    # the successor's target held them too.
     timers, core, target, grants = subject
     core.own(0, 9, 1)
     grants.renew()
@@ -214,8 +213,7 @@
 
 def test_slot_is_confirmed_only_by_answer(subject):
     # A target executed an unanswered grant after the slot had moved, and held
-    # the slot under an outdated fence. Found by the OWNER check of a run under
-    # faults.
+    # the slot under an outdated fence.
     timers, core, target, grants = subject
     core.own(0, 9, 1)
     assert not grants.is_confirmed(3)
@@ -232,9 +230,8 @@
 
 
 def test_grant_after_unanswered_one_has_higher_fence(subject):
-    # A target executed the unanswered grant after the slot had moved, although
-    # a later grant had been answered. Found by the OWNER check of runs in which
-    # targets executed orders late.
+    # A target that executes orders late executed the unanswered grant after the
+    # slot had moved, although a later grant had been answered.
     timers, core, target, grants = subject
     core.own(0, 9, 5)
     grants.renew()
@@ -278,8 +275,7 @@
 
 
 def test_pending_grant_counts_as_unanswered_when_ranges_change(subject):
-    # The pending grant was executed late, under the same fence as the next
-    # one. Found by the OWNER check of a run under faults.
+    # The pending grant was executed late, under the same fence as the next one.
     timers, core, target, grants = subject
     core.own(0, 9, 1)
     grants.renew()
