--- a/tests/ownership/test_loads.py
+++ b/tests/ownership/test_loads.py
@@ -3,11 +3,11 @@
 
 def test_old_loads_are_dropped():
     known = loads.Loads()
-    known.note("a", 5.0, 0.0)
-    known.note("b", 6.0, 4.0)
+    known.record("a", 5.0, 0.0)
+    known.record("b", 6.0, 4.0)
     assert known.fresh(5.0) == {"a": 5.0, "b": 6.0}
     assert known.fresh(8.0) == {"b": 6.0}
-    known.note("b", None, 8.0)
+    known.record("b", None, 8.0)
     assert known.fresh(8.0) == {}
 
 
