--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Starts both users' deployments on one machine and drives load."""
+"""Runs both users' deployments on one host and puts them under load."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""`make demo`: both deployments, mixed load, a kill and a leaving target."""
+"""`make demo`: both deployments under load, with a crash and a drain."""
 
 import json
 import pathlib
@@ -15,14 +15,19 @@
 from demo import checker, cluster, deployments, load, report
 
 _BASE_PORTS = {"association": 21000, "rentals": 22000}
-_READY_S = 30.0
+_READY_TIMEOUT_S = 30.0
 
 
 class FaultSchedule:
-    """What is done to one deployment while it is under load."""
+    """Kills one daemon and drains another while a deployment is under load."""
 
     def __init__(self, running: cluster.Cluster, seconds: float) -> None:
-        """Plans a kill and a leaving target within `seconds` of load."""
+        """Chooses the daemon to kill and the VM to drain.
+
+        Args:
+            running: The deployment under load.
+            seconds: Length of the load; the faults come at fixed shares of it.
+        """
         self.cluster = running
         self.seconds = seconds
         last = running.deployment.services[-1].name
@@ -32,29 +37,29 @@
         self.left: dict[str, float] = {}
 
     def run(self) -> None:
-        """Carries the plan out, from its own thread."""
-        begun = time.monotonic()
-        self._wait_until(begun + self.seconds * 0.3)
+        """Carries out the schedule; returns after its last step."""
+        started_at = time.monotonic()
+        self._wait_until(started_at + self.seconds * 0.3)
         self.killed.daemon_process.send_signal(signal.SIGKILL)
-        self._note(f"killed daemon {self.killed.name} (-9)")
-        self._wait_until(begun + self.seconds * 0.55)
+        self._print(f"killed daemon {self.killed.name} with SIGKILL")
+        self._wait_until(started_at + self.seconds * 0.55)
         cluster.call(self.leaving.target_address, "POST", "/leave")
         self.left[self.leaving.name] = time.monotonic()
         self.leaving.daemon_process.send_signal(signal.SIGTERM)
-        self._note(f"target {self.leaving.name} leaves, its daemon drains")
-        self._wait_until(begun + self.seconds * 0.7)
+        self._print(f"target {self.leaving.name} leaves, its daemon drains")
+        self._wait_until(started_at + self.seconds * 0.7)
         self.killed.daemon_process.wait()
         self.cluster.start_daemon(self.killed)
-        self._note(f"daemon {self.killed.name} started again")
+        self._print(f"daemon {self.killed.name} was started again")
 
     def drained(self) -> int | None:
-        """Returns the exit code of the daemon that drained, or None."""
+        """Returns the drained daemon's exit code, or None if it still runs."""
         try:
             return self.leaving.daemon_process.wait(timeout=12)
         except subprocess.TimeoutExpired:
             return None
 
-    def _note(self, text: str) -> None:
+    def _print(self, text: str) -> None:
         click.echo(f"  {self.cluster.deployment.name}: {text}")
 
     def _wait_until(self, moment: float) -> None:
@@ -70,74 +75,84 @@
     for running in clusters:
         click.echo(
             f"starting {running.deployment.name}:"
-            f" {len(running.vms)} targets, a daemon beside each"
+            f" {len(running.vms)} targets, each with a daemon"
         )
         running.start()
     for running in clusters:
-        taken = running.wait_until_ready(_READY_S)
-        if taken is None:
+        seconds = running.wait_until_ready(_READY_TIMEOUT_S)
+        if seconds is None:
             raise SystemExit(f"{running.deployment.name} did not get ready")
-        click.echo(f"{running.deployment.name} is ready after {taken:.1f} s")
+        click.echo(f"{running.deployment.name} is ready after {seconds:.1f} s")
     return clusters
 
 
-def _drive(
+def _run_load(
     clusters: list[cluster.Cluster], seconds: float, rate: float, seed: int
 ) -> list[report.Summary]:
-    stories = [FaultSchedule(running, seconds) for running in clusters]
-    loads = [
+    schedules = [FaultSchedule(running, seconds) for running in clusters]
+    generators = [
         load.LoadGenerator(running, seconds, rate, seed + index)
         for index, running in enumerate(clusters)
     ]
     threads = [
         threading.Thread(target=action.run, daemon=True)
-        for action in (*stories, *loads)
+        for action in (*schedules, *generators)
     ]
     for thread in threads:
         thread.start()
-    begun = time.monotonic()
+    started_at = time.monotonic()
     while any(thread.is_alive() for thread in threads):
         time.sleep(2)
-        done = sum(len(part.results) for part in loads)
-        click.echo(f"  {time.monotonic() - begun:4.0f} s: {done} requests")
+        ended = sum(len(generator.results) for generator in generators)
+        click.echo(
+            f"  {time.monotonic() - started_at:4.0f} s: {ended} requests"
+        )
     return [
-        report.summarise(running, _evidence(running, part, story))
-        for running, part, story in zip(clusters, loads, stories, strict=True)
+        report.summarise(running, _history(running, generator, schedule))
+        for running, generator, schedule in zip(
+            clusters, generators, schedules, strict=True
+        )
     ]
 
 
-def _evidence(
-    running: cluster.Cluster, part: load.LoadGenerator, story: FaultSchedule
+def _history(
+    running: cluster.Cluster,
+    generator: load.LoadGenerator,
+    schedule: FaultSchedule,
 ) -> checker.History:
-    drained = {story.leaving.name: story.drained()}
-    return checker.History(part.results, running.runs(), story.left, drained)
+    exit_codes = {schedule.leaving.name: schedule.drained()}
+    return checker.History(
+        generator.results, running.runs(), schedule.left, exit_codes
+    )
 
 
 @click.command()
-@click.option("--seconds", default=20.0, help="Length of the load.")
-@click.option("--rate", default=120.0, help="Requests a second and user.")
+@click.option("--seconds", default=20.0, help="Length of the load in seconds.")
+@click.option("--rate", default=120.0, help="Requests per second and user.")
 @click.option("--seed", default=1, help="Seed of the load.")
 @click.option(
     "--folder",
     type=click.Path(path_type=pathlib.Path),
     default=None,
-    help="Where logs go; kept. Default: a temporary folder.",
+    help="Folder for logs, which is kept. Default: a temporary folder.",
 )
 def main(
     seconds: float, rate: float, seed: int, folder: pathlib.Path | None
 ) -> None:
-    """Runs both users' deployments and judges the outcome."""
-    work = folder or pathlib.Path(tempfile.mkdtemp(prefix="tamarackgap-"))
+    """Runs both users' deployments and checks the guarantees."""
+    work_folder = folder or pathlib.Path(
+        tempfile.mkdtemp(prefix="tamarackgap-")
+    )
     clusters: list[cluster.Cluster] = []
     try:
-        clusters = _start(work)
-        summaries = _drive(clusters, seconds, rate, seed)
+        clusters = _start(work_folder)
+        summaries = _run_load(clusters, seconds, rate, seed)
     finally:
         for running in clusters:
             running.stop()
     for summary in summaries:
         click.echo(report.render(summary))
-    (work / "summary.json").write_text(
+    (work_folder / "summary.json").write_text(
         json.dumps([report.as_dict(summary) for summary in summaries]),
         encoding="utf-8",
     )
@@ -145,8 +160,8 @@
     for text in broken:
         click.echo(f"BROKEN: {text}", err=True)
     if folder is None and not broken:
-        shutil.rmtree(work, ignore_errors=True)
-    click.echo("every promise held" if not broken else f"logs: {work}")
+        shutil.rmtree(work_folder, ignore_errors=True)
+    click.echo("all guarantees held" if not broken else f"logs: {work_folder}")
     sys.exit(1 if broken else 0)
 
 
--- a/demo/checker.py
+++ b/demo/checker.py
@@ -1,7 +1,8 @@
-"""Checks a run's history against the brief's promises.
+"""Checks the history of a run against the guarantees of the deployments.
 
-The targets' own logs of what took effect are the truth; they share the
-machine's monotonic clock. Each check returns the violations it found.
+The checks rely on the targets' own logs of what took effect. All processes of
+a run share one host, so their monotonic times can be compared. The name of a
+check is its key in the summary.
 """
 
 import collections
@@ -16,15 +17,17 @@
 
 
 class History(msgspec.Struct, frozen=True):
-    """All that is known of a run.
+    """Everything that was recorded during a run.
 
     Attributes:
-        results: What the callers got.
-        runs: What the targets say took effect.
-        leave_started_at: Monotonic time when each target began to leave.
-        drain_exit_codes: Exit code of each daemon that was asked to drain.
-        edited_weights: For each accepted edit, the weight it set, by row.
-        weights_in_force: For each daemon, the weight it has in force, by row.
+        results: What each caller's request ended in.
+        runs: Operations that took effect, from the targets' logs.
+        leave_started_at: Monotonic time when each target began to leave, in
+            seconds, by the target's name.
+        drain_exit_codes: Exit code of each daemon that was asked to drain, by
+            its name; None if the daemon did not exit in time.
+        edited_weights: Weight that each accepted edit set, by table row.
+        weights_in_force: Weights that each daemon applies, by table row.
     """
 
     results: list[load.Result]
@@ -39,60 +42,69 @@
     return run.target.rpartition("-")[0]
 
 
-def _unsafe(runs: Iterable[target_lib.RunRecord]) -> list[target_lib.RunRecord]:
+def _non_idempotent(
+    runs: Iterable[target_lib.RunRecord],
+) -> list[target_lib.RunRecord]:
     return [run for run in runs if not run.operation.startswith("GET")]
 
 
-def two_owners(evidence: History) -> list[str]:
+def two_owners(history: History) -> list[str]:
     """Finds keys that two targets worked on at the same time."""
-    by_key = collections.defaultdict(list)
-    for run in evidence.runs:
-        by_key[_service(run), run.key].append(run)
-    found = []
-    for (service, key), group in sorted(by_key.items()):
-        group.sort(key=lambda run: run.begun)
-        busy: dict[str, float] = {}
-        for run in group:
-            others = [name for name in busy if name != run.target]
-            if any(run.begun < busy[name] for name in others):
-                found.append(f"{service} {key}: {run.target} and {others}")
+    runs_by_key = collections.defaultdict(list)
+    for run in history.runs:
+        runs_by_key[_service(run), run.key].append(run)
+    violations = []
+    for (service, key), runs in sorted(runs_by_key.items()):
+        runs.sort(key=lambda run: run.begun)
+        busy_until: dict[str, float] = {}
+        for run in runs:
+            others = [name for name in busy_until if name != run.target]
+            if any(run.begun < busy_until[name] for name in others):
+                violations.append(f"{service} {key}: {run.target} and {others}")
                 break
-            busy[run.target] = max(run.at, busy.get(run.target, 0.0))
-    return found
+            busy_until[run.target] = max(
+                run.at, busy_until.get(run.target, 0.0)
+            )
+    return violations
 
 
-def fences_fall(evidence: History) -> list[str]:
-    """Finds runs under a lower fence than an earlier run of the slot."""
+def fences_fall(history: History) -> list[str]:
+    """Finds runs whose fence is lower than an earlier one of the slot.
+
+    Two targets that run operations under the same fence are reported as well.
+    """
     highest: dict[tuple[str, int], target_lib.RunRecord] = {}
-    found = []
-    for run in sorted(evidence.runs, key=lambda run: run.at):
-        place = (_service(run), run.slot)
-        last = highest.get(place)
+    violations = []
+    for run in sorted(history.runs, key=lambda run: run.at):
+        slot = (_service(run), run.slot)
+        last = highest.get(slot)
         if last is not None and run.fence < last.fence:
-            found.append(f"{place}: fence {run.fence} after {last.fence}")
+            violations.append(f"{slot}: fence {run.fence} after {last.fence}")
         elif (
             last is not None
             and run.fence == last.fence
             and run.target != last.target
         ):
-            found.append(f"{place}: fence {run.fence} at two targets")
+            violations.append(f"{slot}: fence {run.fence} at two targets")
         else:
-            highest[place] = run
-    return found
+            highest[slot] = run
+    return violations
 
 
-def wrong_answers(evidence: History) -> list[str]:
-    """Finds answers that were not whole or not the caller's own."""
+def wrong_answers(history: History) -> list[str]:
+    """Finds answers that are truncated or belong to another request."""
     return [
-        f"{done.request_id}: {done.answer_error}"
-        for done in evidence.results
-        if done.answer_error
+        f"{result.request_id}: {result.answer_error}"
+        for result in history.results
+        if result.answer_error
     ]
 
 
-def doubled(evidence: History) -> list[str]:
+def doubled(history: History) -> list[str]:
     """Finds non-idempotent requests that ran more than once."""
-    counts = collections.Counter(run.request for run in _unsafe(evidence.runs))
+    counts = collections.Counter(
+        run.request for run in _non_idempotent(history.runs)
+    )
     return [
         f"{request}: ran {count} times"
         for request, count in counts.items()
@@ -100,52 +112,52 @@
     ]
 
 
-def ran_though_not(evidence: History) -> list[str]:
-    """Finds requests that ran though every verdict said "not run"."""
-    ran = {run.request for run in _unsafe(evidence.runs)}
+def ran_though_not(history: History) -> list[str]:
+    """Finds requests that ran although each verdict was "not-run"."""
+    executed = {run.request for run in _non_idempotent(history.runs)}
     return [
-        done.request_id
-        for done in evidence.results
-        if set(done.verdicts) == {"not-run"} and done.request_id in ran
+        result.request_id
+        for result in history.results
+        if set(result.verdicts) == {"not-run"} and result.request_id in executed
     ]
 
 
-def answered_unrun(evidence: History) -> list[str]:
-    """Finds requests that were answered though no target ran them."""
-    ran = {run.request for run in evidence.runs}
+def answered_unrun(history: History) -> list[str]:
+    """Finds requests that were answered although no target ran them."""
+    executed = {run.request for run in history.runs}
     return [
-        done.request_id
-        for done in evidence.results
-        if done.verdict == "answered" and done.request_id not in ran
+        result.request_id
+        for result in history.results
+        if result.verdict == "answered" and result.request_id not in executed
     ]
 
 
-def work_after_leaving(evidence: History) -> list[str]:
-    """Finds work that a leaving target got too late."""
+def work_after_leaving(history: History) -> list[str]:
+    """Finds runs that began too long after their target began to leave."""
     return [
         f"{run.target}: "
-        f"{run.begun - evidence.leave_started_at[run.target]:.1f} s later"
-        for run in evidence.runs
-        if run.target in evidence.leave_started_at
-        and run.begun > evidence.leave_started_at[run.target] + LEAVING_LIMIT_S
+        f"{run.begun - history.leave_started_at[run.target]:.1f} s later"
+        for run in history.runs
+        if run.target in history.leave_started_at
+        and run.begun > history.leave_started_at[run.target] + LEAVING_LIMIT_S
     ]
 
 
-def cut_by_shutdown(evidence: History) -> list[str]:
-    """Finds daemons that did not drain cleanly."""
+def cut_by_shutdown(history: History) -> list[str]:
+    """Finds daemons whose drain did not end with exit code 0."""
     return [
         f"{name}: exit code {code}"
-        for name, code in evidence.drain_exit_codes.items()
+        for name, code in history.drain_exit_codes.items()
         if code != 0
     ]
 
 
-def reverted_edits(evidence: History) -> list[str]:
-    """Finds daemons in which an accepted edit is not in force."""
+def reverted_edits(history: History) -> list[str]:
+    """Finds daemons that do not apply the weight of an accepted edit."""
     return [
         f"{daemon}: {row} is {weights.get(row)}, not {weight}"
-        for daemon, weights in evidence.weights_in_force.items()
-        for row, weight in evidence.edited_weights.items()
+        for daemon, weights in history.weights_in_force.items()
+        for row, weight in history.edited_weights.items()
         if weights.get(row) != weight
     ]
 
@@ -163,6 +175,6 @@
 )
 
 
-def find_violations(evidence: History) -> dict[str, list[str]]:
-    """Returns the violations of each check, by the check's name."""
-    return {check.__name__: check(evidence) for check in CHECKS}
+def find_violations(history: History) -> dict[str, list[str]]:
+    """Returns the violations that each check finds, by the check's name."""
+    return {check.__name__: check(history) for check in CHECKS}
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -1,4 +1,4 @@
-"""Starts and stops the processes of one deployment."""
+"""Starts, stops and inspects the processes of one deployment."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from tamarackgap.commands import control
 
 _HOST = "127.0.0.1"
-_READY_S = 90.0
+_READY_TIMEOUT_S = 90.0
 
 
 class VM(msgspec.Struct):
-    """One VM: a target and the daemon beside it.
+    """One VM, which runs a target and its local daemon.
 
     Attributes:
-        name: Name of the daemon and the target.
-        service: Their service.
-        data_centre: Where the VM stands.
+        name: Name of both the daemon and the target.
+        service: Service that they belong to.
+        data_centre: Data centre that the VM is in.
         http_address: The daemon's `ip:port` for callers.
         peer_address: The daemon's `ip:port` for other daemons.
         target_address: The target's `ip:port`.
         checks_grants: Whether the target checks grants.
-        daemon_process: The daemon.
-        target_process: The target.
+        daemon_process: The daemon's latest process; None before its start.
+        target_process: The target's process; None before its start.
     """
 
     name: str
@@ -55,10 +55,17 @@
     body: object = None,
     timeout: float = 2.0,
 ) -> tuple[int, bytes]:
-    """Returns status and body of one request, with a JSON body.
+    """Sends a request with a JSON body; returns the response's status and body.
+
+    Args:
+        address: `ip:port` of the server.
+        method: HTTP method.
+        path: Path and query.
+        body: Value to encode as JSON; None for an empty body.
+        timeout: Longest wait for the response, seconds.
 
     Raises:
-        OSError: If there is no whole answer.
+        OSError: If no complete response arrives in time.
     """
     data = json.dumps(body).encode() if body is not None else b""
     return control.send_request(address, method, path, data, timeout)
@@ -71,22 +78,22 @@
     balanced: bool = True,
     **options: object,
 ) -> Iterator[Cluster]:
-    """Runs a deployment in a temporary folder, for a measurement.
+    """Runs a deployment in a temporary folder until the block ends.
 
     Args:
-        plan: What to start.
+        plan: Deployment to start.
         base_port: First of the ports.
-        balanced: Whether to wait for an even spread.
-        **options: As for `Cluster`.
+        balanced: Whether to wait until slots are spread evenly.
+        **options: Further arguments of `Cluster`.
 
     Raises:
-        RuntimeError: If it does not get ready.
+        RuntimeError: If the deployment does not get ready.
     """
     with tempfile.TemporaryDirectory() as folder:
         running = Cluster(plan, pathlib.Path(folder), base_port, **options)
         running.start()
         try:
-            if running.wait_until_ready(_READY_S, balanced) is None:
+            if running.wait_until_ready(_READY_TIMEOUT_S, balanced) is None:
                 raise RuntimeError(f"{plan.name} did not get ready")
             yield running
         finally:
@@ -94,7 +101,7 @@
 
 
 class Cluster:
-    """All processes of one deployment, on loopback."""
+    """The processes of one deployment, all on loopback addresses."""
 
     def __init__(
         self,
@@ -104,14 +111,15 @@
         work_ms: float = 3.0,
         overrides: dict[str, dict[str, object]] | None = None,
     ) -> None:
-        """Plans the processes; nothing is started yet.
+        """Assigns names and addresses; nothing is started yet.
 
         Args:
-            deployment: What to start.
-            folder: For settings, logs and the targets' runs.
-            base_port: First of the ports; three for each VM and one more.
-            work_ms: Mean time of an operation at a target.
-            overrides: Settings by section, for every daemon.
+            deployment: Deployment to start.
+            folder: Folder for settings, logs and the targets' run records.
+            base_port: First of the ports. The platform takes one port, each VM
+                takes three.
+            work_ms: Mean time that a target takes for an operation.
+            overrides: Settings of every daemon, by section.
         """
         self.deployment = deployment
         self.folder = folder
@@ -123,12 +131,12 @@
         port = base_port + 1
         for service in deployment.services:
             for index in range(service.target_count):
-                centres = deployment.data_centres
+                data_centres = deployment.data_centres
                 self.vms.append(
                     VM(
                         name=f"{service.name}-{index}",
                         service=service.name,
-                        data_centre=centres[index % len(centres)],
+                        data_centre=data_centres[index % len(data_centres)],
                         http_address=f"{_HOST}:{port}",
                         peer_address=f"{_HOST}:{port + 1}",
                         target_address=f"{_HOST}:{port + 2}",
@@ -138,39 +146,37 @@
                 port += 3
 
     def vm(self, name: str) -> VM:
-        """Returns the VM with a name."""
-        return next(place for place in self.vms if place.name == name)
+        """Returns the VM with the given name."""
+        return next(vm for vm in self.vms if vm.name == name)
 
     def start(self) -> None:
-        """Starts everything."""
+        """Starts the platform, then the target and daemon of each VM."""
         self.folder.mkdir(parents=True, exist_ok=True)
         self.start_platform()
-        for place in self.vms:
-            self.start_target(place)
-            self.start_daemon(place)
+        for vm in self.vms:
+            self.start_target(vm)
+            self.start_daemon(vm)
 
     def start_platform(self) -> None:
-        """Starts the platform's stand-in."""
-        self.platform = self._run(
+        """Starts the stand-in for the platform."""
+        self.platform = self._start_module(
             "platform", "standins.platform", "--listen", self.table_address
         )
 
-    def start_target(self, place: VM) -> None:
-        """Starts a VM's target."""
-        flag = (
-            "--checks-grants" if place.checks_grants else "--no-checks-grants"
-        )
-        place.target_process = self._run(
-            f"target-{place.name}",
+    def start_target(self, vm: VM) -> None:
+        """Starts the target of a VM."""
+        flag = "--checks-grants" if vm.checks_grants else "--no-checks-grants"
+        vm.target_process = self._start_module(
+            f"target-{vm.name}",
             "standins.target",
             "--name",
-            place.name,
+            vm.name,
             "--service",
-            place.service,
+            vm.service,
             "--listen",
-            place.target_address,
+            vm.target_address,
             "--daemon",
-            place.http_address,
+            vm.http_address,
             "--slots",
             str(self.deployment.slots),
             "--connections",
@@ -178,21 +184,21 @@
             "--work-ms",
             str(self.work_ms),
             "--log",
-            str(self.folder / f"{place.name}.runs"),
+            str(self.folder / f"{vm.name}.runs"),
             flag,
         )
 
-    def write_settings(self, place: VM) -> pathlib.Path:
-        """Writes a daemon's settings file and returns its path."""
+    def write_settings(self, vm: VM) -> pathlib.Path:
+        """Writes the settings file of a VM's daemon and returns its path."""
         sections: dict[str, dict[str, object]] = {
             "daemon": {
                 "deployment": self.deployment.name,
-                "name": place.name,
-                "service": place.service,
-                "data_centre": place.data_centre,
-                "http_address": place.http_address,
-                "peer_address": place.peer_address,
-                "log": self.folder / f"{place.name}.log",
+                "name": vm.name,
+                "service": vm.service,
+                "data_centre": vm.data_centre,
+                "http_address": vm.http_address,
+                "peer_address": vm.peer_address,
+                "log": self.folder / f"{vm.name}.log",
             },
             "table": {"address": self.table_address},
         }
@@ -202,43 +208,56 @@
         for section, values in sections.items():
             lines.append(f"[{section}]")
             lines += [f"{name} = {value}" for name, value in values.items()]
-        path = self.folder / f"{place.name}.ini"
+        path = self.folder / f"{vm.name}.ini"
         path.write_text("\n".join(lines) + "\n", encoding="utf-8")
         return path
 
-    def start_daemon(self, place: VM) -> None:
-        """Starts a VM's daemon."""
-        place.daemon_process = self.launch_daemon(place, "daemon")
+    def start_daemon(self, vm: VM) -> None:
+        """Starts the daemon of a VM."""
+        vm.daemon_process = self.launch_daemon(vm, "daemon")
 
-    def launch_daemon(
-        self, place: VM, prefix: str = "again"
-    ) -> subprocess.Popen:
-        """Starts a daemon with a VM's settings, and returns the process."""
-        return self._run(
-            f"{prefix}-{place.name}",
+    def launch_daemon(self, vm: VM, prefix: str = "again") -> subprocess.Popen:
+        """Starts a process with the settings of a VM's daemon.
+
+        A second daemon of the VM can be started as well: it is not recorded
+        in the VM and not stopped by `stop`.
+
+        Args:
+            vm: VM whose settings the daemon gets.
+            prefix: First part of the name of the output file.
+
+        Returns:
+            The process.
+        """
+        return self._start_module(
+            f"{prefix}-{vm.name}",
             "tamarackgap",
             "daemon",
             "--config",
-            str(self.write_settings(place)),
+            str(self.write_settings(vm)),
         )
 
     def wait_until_ready(
         self, seconds: float, balanced: bool = True
     ) -> float | None:
-        """Waits until all slots are owned; returns the time, or None.
+        """Waits until all slots of all services are owned.
 
         Args:
             seconds: Longest wait.
-            balanced: Whether to wait for an even spread as well.
+            balanced: Whether to wait until slots are spread evenly as well.
+
+        Returns:
+            The time that it took in seconds, or None if it took too long.
         """
-        begun = time.monotonic()
-        while time.monotonic() - begun < seconds:
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < seconds:
             if self._is_ready(balanced):
-                return time.monotonic() - begun
+                return time.monotonic() - started_at
             time.sleep(0.1)
         return None
 
     def _is_ready(self, balanced: bool) -> bool:
+        # 256 is the default of the setting `ownership.slots`.
         slots = self._overrides.get("ownership", {}).get("slots", 256)
         for service in self.deployment.services:
             counts = self.owned_slot_counts(service.name)
@@ -249,59 +268,65 @@
         return True
 
     def owned_slot_counts(self, service: str) -> list[int | None]:
-        """Returns the number of slots of each daemon of a service."""
+        """Returns the number of slots that each daemon of a service owns.
+
+        It is None for a daemon that does not respond or has no lease.
+        """
         return [
-            self._owned(place) for place in self.vms if place.service == service
+            self._owned_slots(vm) for vm in self.vms if vm.service == service
         ]
 
-    def _owned(self, place: VM) -> int | None:
+    def _owned_slots(self, vm: VM) -> int | None:
         with contextlib.suppress(OSError, ValueError):
-            status = json.loads(call(place.http_address, "GET", "/status")[1])
+            status = json.loads(call(vm.http_address, "GET", "/status")[1])
             if status["lease_left_ms"] > 0:
                 return status["owned"]
         return None
 
     def set_faults(self, **values: object) -> None:
-        """Switches faults of the platform."""
+        """Sets faults of the stand-in for the platform."""
         call(self.table_address, "POST", "/faults", values)
 
     def runs(self) -> list[target_lib.RunRecord]:
-        """Returns everything that the targets say took effect."""
+        """Returns the run records that all targets have logged."""
         decoder = msgspec.json.Decoder(target_lib.RunRecord)
-        found = []
-        for place in self.vms:
-            path = self.folder / f"{place.name}.runs"
+        records = []
+        for vm in self.vms:
+            path = self.folder / f"{vm.name}.runs"
             if path.exists():
-                found += decoder.decode_lines(path.read_bytes())
-        return found
+                records += decoder.decode_lines(path.read_bytes())
+        return records
 
     def log_lines(self, event: str) -> list[str]:
-        """Returns all daemons' log lines of one event."""
+        """Returns the log lines of one event, of all daemons."""
         return [
             line
-            for place in self.vms
-            for line in self._log_of(place).splitlines()
+            for vm in self.vms
+            for line in self._read_log(vm).splitlines()
             if f" event={event} " in line
         ]
 
-    def _log_of(self, place: VM) -> str:
-        path = self.folder / f"{place.name}.log"
+    def _read_log(self, vm: VM) -> str:
+        path = self.folder / f"{vm.name}.log"
         return path.read_text(encoding="utf-8") if path.exists() else ""
 
     def stop(self) -> None:
-        """Ends all processes that were started here."""
+        """Kills the platform and the target and daemon of each VM."""
         processes = [self.platform]
-        for place in self.vms:
-            processes += [place.daemon_process, place.target_process]
+        for vm in self.vms:
+            processes += [vm.daemon_process, vm.target_process]
         for process in filter(None, processes):
             if process.poll() is None:
-                # A stopped process takes no other signal.
+                # A process stopped by SIGSTOP handles no other signal until
+                # it is resumed.
                 process.send_signal(signal.SIGCONT)
                 process.kill()
         for process in filter(None, processes):
             process.wait()
 
-    def _run(self, name: str, module: str, *words: str) -> subprocess.Popen:
+    def _start_module(
+        self, name: str, module: str, *words: str
+    ) -> subprocess.Popen:
         with (self.folder / f"{name}.out").open("ab") as out:
             return subprocess.Popen(
                 [sys.executable, "-m", module, *words],
--- a/demo/deployments.py
+++ b/demo/deployments.py
@@ -1,15 +1,16 @@
-"""The two users' deployments, as the brief gives their sizes."""
+"""The two users' deployments, with the sizes that the brief states."""
 
 import msgspec
 
 
 class Service(msgspec.Struct, frozen=True):
-    """One service.
+    """A service and the targets that run it.
 
     Attributes:
-        name: Its name.
+        name: Name of the service.
         target_count: Number of targets.
-        checks_grants: Whether its targets check who gives them an order.
+        checks_grants: Whether its targets check that the daemon that hands
+            over a request holds a valid grant.
     """
 
     name: str
@@ -18,14 +19,14 @@
 
 
 class Operation(msgspec.Struct, frozen=True):
-    """A kind of request.
+    """A kind of request that callers send.
 
     Attributes:
-        service: The service that it goes to.
-        method: HTTP method; GET is idempotent.
-        path: Path below the service.
-        share: Its share of the load.
-        urgent: False where it can wait.
+        service: Service that gets the request.
+        method: HTTP method; requests with GET are idempotent.
+        path: Path below the path of the service.
+        share: Weight of this kind of request in the load.
+        urgent: False for reports, which may wait.
     """
 
     service: str
@@ -36,7 +37,16 @@
 
 
 class Deployment(msgspec.Struct, frozen=True):
-    """One user's deployment."""
+    """Sizes and services of one user's deployment.
+
+    Attributes:
+        name: Name of the deployment.
+        data_centres: Data centres over which each service is spread.
+        slots: Number of operations that a target runs at once.
+        connections: Number of connections that a target accepts.
+        services: Services of the deployment.
+        operations: Kinds of requests that make up the load.
+    """
 
     name: str
     data_centres: tuple[str, ...]
--- a/demo/load.py
+++ b/demo/load.py
@@ -1,4 +1,4 @@
-"""Callers: a seeded, mixed load, with resends of what was not answered."""
+"""Generates a seeded, mixed load and resends requests without an answer."""
 
 import http.client
 import json
@@ -12,29 +12,30 @@
 
 from demo import cluster, deployments
 
-_WORKERS = 24
+_WORKER_COUNT = 24
 _DEADLINE_S = 3.0
-_SLOW_DEADLINE_S = 8.0
-_KEYS = 2000
-_ZIPF = 1.1
-_RESENDS = 2
+_REPORT_DEADLINE_S = 8.0
+_KEY_COUNT = 2000
+_ZIPF_EXPONENT = 1.1
+_MAX_RESENDS = 2
 
 
 class Result(msgspec.Struct, frozen=True):
-    """What a caller got for one request, after its resends.
+    """What one request ended in, after all its attempts.
 
     Attributes:
-        request_id: The request's id.
-        key: The key.
+        request_id: Id of the request, the same in each attempt.
+        key: Its key.
         operation: Method and path.
-        idempotent: Whether running it twice does no harm.
-        verdict: The last verdict; "no-connection" where there was none.
-        reason: Reason of a refusal.
-        answer_error: What was wrong with the answer, if anything.
-        attempts: How often it was sent.
-        started_at: Monotonic time of the first sending, seconds.
-        latency_s: Time until the last answer.
-        verdicts: All verdicts in order.
+        idempotent: Whether it may run twice without harm.
+        verdict: Verdict of the last attempt; "no-connection" if no daemon
+            responded to it.
+        reason: Reason of the last refusal, or an empty text.
+        answer_error: What is wrong with the answer, or an empty text.
+        attempts: How often the request was sent.
+        started_at: Monotonic time of the first attempt, seconds.
+        latency_s: Time from the first attempt to the end of the last.
+        verdicts: Verdicts of all attempts, in order.
     """
 
     request_id: str
@@ -51,7 +52,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """One sending's outcome."""
+    """The response to one attempt."""
 
     verdict: str
     reason: str
@@ -59,7 +60,10 @@
 
 
 class LoadGenerator:
-    """Open-loop arrivals, worked off by threads with kept connections."""
+    """Sends requests at open-loop arrival times, over persistent connections.
+
+    Arrivals do not wait for responses. Worker threads send the requests.
+    """
 
     def __init__(
         self,
@@ -68,7 +72,14 @@
         rate: float,
         seed: int,
     ) -> None:
-        """Plans a load of `rate` requests a second for `seconds`."""
+        """Prepares a load; nothing is sent yet.
+
+        Args:
+            running: The deployment that gets the load.
+            seconds: How long requests arrive.
+            rate: Mean number of requests per second.
+            seed: Seed of arrival times, operations, keys and entries.
+        """
         self.cluster = running
         self.results: list[Result] = []
         self._seconds = seconds
@@ -76,24 +87,26 @@
         self._rng = random.Random(seed)
         self._jobs: queue.Queue = queue.Queue()
         self._lock = threading.Lock()
-        weights = [1 / (rank + 1) ** _ZIPF for rank in range(_KEYS)]
-        self._keys = [f"seat-{index}" for index in range(_KEYS)]
+        weights = [
+            1 / (rank + 1) ** _ZIPF_EXPONENT for rank in range(_KEY_COUNT)
+        ]
+        self._keys = [f"seat-{index}" for index in range(_KEY_COUNT)]
         self._weights = weights
 
     def run(self) -> None:
-        """Drives the load, and returns when all requests are done."""
+        """Generates the load and returns when all requests have ended."""
         workers = [
             threading.Thread(target=self._work, args=(index,), daemon=True)
-            for index in range(_WORKERS)
+            for index in range(_WORKER_COUNT)
         ]
         for worker in workers:
             worker.start()
-        begun = time.monotonic()
-        due = begun
+        started_at = time.monotonic()
+        arrives_at = started_at
         number = 0
-        while due - begun < self._seconds:
-            due += self._rng.expovariate(self._rate)
-            time.sleep(max(0.0, due - time.monotonic()))
+        while arrives_at - started_at < self._seconds:
+            arrives_at += self._rng.expovariate(self._rate)
+            time.sleep(max(0.0, arrives_at - time.monotonic()))
             self._jobs.put((number, *self._choose()))
             number += 1
         for _ in workers:
@@ -102,6 +115,7 @@
             worker.join()
 
     def _choose(self) -> tuple[deployments.Operation, str, int]:
+        """Returns a random operation, key and index of the entry's VM."""
         operations = self.cluster.deployment.operations
         shares = [operation.share for operation in operations]
         operation = self._rng.choices(operations, shares)[0]
@@ -109,66 +123,72 @@
         return operation, key, self._rng.randrange(len(self.cluster.vms))
 
     def _work(self, index: int) -> None:
-        links: dict[str, http.client.HTTPConnection] = {}
+        connections: dict[str, http.client.HTTPConnection] = {}
         while (job := self._jobs.get()) is not None:
             number, operation, key, entry = job
-            done = self._request(links, number, operation, key, entry)
+            result = self._request(connections, number, operation, key, entry)
             with self._lock:
-                self.results.append(done)
+                self.results.append(result)
 
     def _request(
         self,
-        links: dict[str, http.client.HTTPConnection],
+        connections: dict[str, http.client.HTTPConnection],
         number: int,
         operation: deployments.Operation,
         key: str,
         entry: int,
     ) -> Result:
         sent_ms = int(time.time() * 1000)
-        request = f"{sent_ms}-{self.cluster.deployment.name}-{number}"
-        begun = time.monotonic()
+        # `report` reads the sending time from the id.
+        request_id = f"{sent_ms}-{self.cluster.deployment.name}-{number}"
+        started_at = time.monotonic()
         verdicts: list[str] = []
         reply = Reply("no-connection", "", b"")
-        for send in range(1 + _RESENDS):
-            place = self.cluster.vms[(entry + send) % len(self.cluster.vms)]
+        for resends in range(1 + _MAX_RESENDS):
+            vm = self.cluster.vms[(entry + resends) % len(self.cluster.vms)]
             reply = self._send(
-                links, place.http_address, operation, key, request, send + 1
+                connections,
+                vm.http_address,
+                operation,
+                key,
+                request_id,
+                resends + 1,
             )
             verdicts.append(reply.verdict)
             if reply.verdict == "answered":
                 break
             time.sleep(0.05)
-        wrong = ""
+        answer_error = ""
         if reply.verdict == "answered":
-            wrong = _check(reply.body, request, key, operation)
+            answer_error = _check_answer(reply.body, request_id, key, operation)
         return Result(
-            request_id=request,
+            request_id=request_id,
             key=key,
             operation=f"{operation.method} {operation.path}",
             idempotent=operation.method == "GET",
             verdict=reply.verdict,
             reason=reply.reason,
-            answer_error=wrong,
+            answer_error=answer_error,
             attempts=len(verdicts),
-            started_at=begun,
-            latency_s=time.monotonic() - begun,
+            started_at=started_at,
+            latency_s=time.monotonic() - started_at,
             verdicts=tuple(verdicts),
         )
 
     def _send(
         self,
-        links: dict[str, http.client.HTTPConnection],
+        connections: dict[str, http.client.HTTPConnection],
         address: str,
         operation: deployments.Operation,
         key: str,
-        request: str,
+        request_id: str,
         attempt: int,
     ) -> Reply:
-        deadline = _DEADLINE_S if operation.urgent else _SLOW_DEADLINE_S
+        deadline_s = _DEADLINE_S if operation.urgent else _REPORT_DEADLINE_S
         headers = {
-            "X-Request-Id": request,
+            "X-Request-Id": request_id,
             "X-Attempt": str(attempt),
-            "X-Deadline-Ms": str(int(deadline * 1000)),
+            "X-Deadline-Ms": str(int(deadline_s * 1000)),
         }
         if not operation.urgent:
             headers["X-Urgency"] = "report"
@@ -176,41 +196,41 @@
             f"/v1/{operation.service}/{operation.path}?"
             + urllib.parse.urlencode({"key": key})
         )
-        body = b"" if operation.method == "GET" else request.encode()
-        link = links.get(address)
-        if link is None:
+        body = b"" if operation.method == "GET" else request_id.encode()
+        connection = connections.get(address)
+        if connection is None:
             host, _, port = address.rpartition(":")
-            link = http.client.HTTPConnection(
-                host, int(port), timeout=deadline + 1
+            connection = http.client.HTTPConnection(
+                host, int(port), timeout=deadline_s + 1
             )
-            links[address] = link
+            connections[address] = connection
         try:
-            link.request(operation.method, path, body, headers)
-            answer = link.getresponse()
-            data = answer.read()
+            connection.request(operation.method, path, body, headers)
+            response = connection.getresponse()
+            data = response.read()
         except (OSError, http.client.HTTPException):
-            link.close()
-            links.pop(address, None)
+            connection.close()
+            connections.pop(address, None)
             return Reply("no-connection", "", b"")
-        verdict = answer.headers.get("X-Verdict", "?")
+        verdict = response.headers.get("X-Verdict", "?")
         reason = ""
         if verdict != "answered":
             reason = json.loads(data).get("reason", "?")
         return Reply(verdict, reason, data)
 
 
-def _check(
-    body: bytes, request: str, key: str, operation: deployments.Operation
+def _check_answer(
+    body: bytes, request_id: str, key: str, operation: deployments.Operation
 ) -> str:
     """Returns what is wrong with an answer, or an empty text."""
     try:
-        found = json.loads(body)
+        answer = json.loads(body)
     except ValueError:
-        return "not whole"
-    if found["request"] != request or found["key"] != key:
-        return "somebody else's answer"
-    if operation.method != "GET" and found["echo"] != request:
-        return "somebody else's body"
-    if operation.path not in found["operation"]:
-        return "another operation"
+        return "the answer is not complete JSON"
+    if answer["request"] != request_id or answer["key"] != key:
+        return "the answer belongs to another request"
+    if operation.method != "GET" and answer["echo"] != request_id:
+        return "the answer echoes the body of another request"
+    if operation.path not in answer["operation"]:
+        return "the answer belongs to another operation"
     return ""
