--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,7 +1,7 @@
-"""Ways to place keys: ours, and the baselines beside it.
+"""Placement policies: that of tamarackgap, and the baselines it is compared to.
 
-Each is stepped second by second on a made-up clock. A policy knows which
-servers are there, their weights, and the load as its owners measured it.
+Each policy runs on a simulated clock with steps of one second. It knows which
+servers are up, their weights, and the load that it has measured itself.
 """
 
 import bisect
@@ -15,18 +15,18 @@
 from tamarackgap.placement import loadstats, placement, slots
 
 SLOTS = 256
-_BOUND = 1.25
-_RING_POINTS = 64
+_MAX_OVER_MEAN = 1.25
+_RING_POINTS_PER_SERVER = 64
 
 
 class Server(msgspec.Struct):
-    """A server as the policies see it.
+    """A server on which the policies place keys.
 
     Attributes:
-        name: Its name.
-        data_centre: Where it stands.
-        weight: Its weight in the operators' table.
-        up: Whether it serves.
+        name: Name of the server.
+        data_centre: Data centre that it is in.
+        weight: Weight that the operators gave it, 100 by default.
+        up: Whether it is running.
     """
 
     name: str
@@ -39,52 +39,61 @@
     return xxhash.xxh3_64_intdigest("/".join(map(str, parts)).encode())
 
 
-def _usable(servers: list[Server]) -> list[Server]:
+def _candidates(servers: list[Server]) -> list[Server]:
+    """Returns the servers that may own keys."""
     return [server for server in servers if server.up and server.weight]
 
 
 class Policy:
-    """What all policies share: keys to server names."""
+    """Base class of the policies: maps keys to names of servers.
+
+    Attributes:
+        name: Name in the table of results.
+        remembers_crashes: Whether a request that crashed two servers is
+            refused from then on.
+        resends_unsafely: Whether a request that may have run is sent again
+            even if it is not idempotent.
+    """
 
     name = "?"
     remembers_crashes = False
     resends_unsafely = True
 
     def __init__(self, seed: int) -> None:
-        """Creates a policy that has placed nothing."""
+        """Creates a policy that has placed no keys yet."""
         self.rng = random.Random(seed)
 
     def place(self, key: str, servers: list[Server]) -> str:
-        """Returns the server for a key."""
+        """Returns the name of the server that gets a key's request."""
         raise NotImplementedError
 
     def step(self, servers: list[Server], now: float) -> None:
-        """Does what is due in this second."""
+        """Updates the policy at the start of each second."""
 
     def record_request(self, key: str, server: str, now: float) -> None:
-        """Notes a request."""
+        """Records that a server has got a request."""
 
 
 class Modulo(Policy):
-    """Hash modulo the number of servers."""
+    """Hash of the key modulo the number of servers."""
 
     name = "modulo"
 
     def place(self, key: str, servers: list[Server]) -> str:
-        """Returns the server for a key."""
-        usable = _usable(servers)
-        return usable[_hash(key) % len(usable)].name
+        """Returns the name of the server that gets a key's request."""
+        candidates = _candidates(servers)
+        return candidates[_hash(key) % len(candidates)].name
 
 
 class Rendezvous(Policy):
-    """Highest random weight, with weights."""
+    """Rendezvous hashing (highest random weight) with weighted servers."""
 
     name = "rendezvous"
 
     def place(self, key: str, servers: list[Server]) -> str:
-        """Returns the server for a key."""
+        """Returns the name of the server that gets a key's request."""
         return max(
-            _usable(servers),
+            _candidates(servers),
             key=lambda server: (
                 ((_hash(key, server.name) + 1) / 2**64) ** (100 / server.weight)
             ),
@@ -97,7 +106,7 @@
     name = "bounded-ring"
 
     def __init__(self, seed: int) -> None:
-        """Creates a ring without keys."""
+        """Creates a ring without servers."""
         super().__init__(seed)
         self._ring: list[tuple[int, str]] = []
         self._members: tuple[str, ...] = ()
@@ -105,127 +114,139 @@
         self._placed: dict[str, str] = {}
 
     def step(self, servers: list[Server], now: float) -> None:
-        """Counts loads anew each second."""
+        """Resets the loads, which are counted per second."""
         self._load = {}
         self._placed = {}
 
     def place(self, key: str, servers: list[Server]) -> str:
-        """Returns the first server on the ring with room."""
-        usable = _usable(servers)
-        names = tuple(server.name for server in usable)
+        """Returns the next server on the ring with a load below the bound."""
+        candidates = _candidates(servers)
+        names = tuple(server.name for server in candidates)
         if names != self._members:
             self._members = names
             self._ring = sorted(
                 (_hash(name, point), name)
                 for name in names
-                for point in range(_RING_POINTS)
+                for point in range(_RING_POINTS_PER_SERVER)
             )
         total = sum(self._load.values()) + 1
-        most = _BOUND * total / len(usable) + 1
+        max_load = _MAX_OVER_MEAN * total / len(candidates) + 1
         start = bisect.bisect(self._ring, (_hash(key), ""))
         for offset in range(len(self._ring)):
             name = self._ring[(start + offset) % len(self._ring)][1]
-            if self._load.get(name, 0) < most:
+            if self._load.get(name, 0) < max_load:
                 self._load[name] = self._load.get(name, 0) + 1
                 return name
-        return usable[0].name
+        return candidates[0].name
 
 
 class RandomRetry(Policy):
-    """A random server for each request, and resends without end."""
+    """A random server for each request, with unlimited resends."""
 
     name = "random-retry"
 
     def place(self, key: str, servers: list[Server]) -> str:
-        """Returns any server."""
-        return self.rng.choice(_usable(servers)).name
+        """Returns the name of a random server."""
+        return self.rng.choice(_candidates(servers)).name
 
 
 class Tamarackgap(Policy):
-    """Slots, owners' own plans, successors: the functions that ship."""
+    """The placement of tamarackgap, built from its own functions.
+
+    Keys map to slots. Each owner plans the moves of its own slots by the loads
+    that all owners report; slots of a lost server go to its successors.
+    """
 
     name = "tamarackgap"
     remembers_crashes = True
     resends_unsafely = False
 
     def __init__(self, seed: int) -> None:
-        """Creates a service whose slots are not given out yet."""
+        """Creates a service whose slots have no owners yet."""
         super().__init__(seed)
         self.owner: dict[int, str] = {}
-        self._since: dict[int, float] = {}
-        self._changed: dict[str, float] = {}
+        self._owned_since: dict[int, float] = {}
+        self._slots_changed_at: dict[str, float] = {}
         self._meters: dict[str, loadstats.SlotMeter] = {}
-        self._told: dict[str, loads.Loads] = {}
+        self._load_reports: dict[str, loads.Loads] = {}
         self.moved_slots = 0
 
     def slot(self, key: str) -> int:
-        """Returns a key's slot."""
+        """Returns the slot of a key."""
         return slots.slot_of_key(types.Key(key), SLOTS)
 
     def place(self, key: str, servers: list[Server]) -> str:
-        """Returns the slot's owner."""
+        """Returns the owner of the key's slot."""
         return self.owner[self.slot(key)]
 
     def record_request(self, key: str, server: str, now: float) -> None:
-        """Meters a request at its owner."""
+        """Counts a request in the load of its slot, at the slot's owner."""
         self._meters[server].count(self.slot(key), now)
 
     def step(self, servers: list[Server], now: float) -> None:
-        """Takes lost slots over, tells loads, and lets each owner plan."""
-        usable = [server for server in servers if server.up]
-        for server in usable:
+        """Takes lost slots over, reports loads, and moves slots."""
+        up_servers = [server for server in servers if server.up]
+        for server in up_servers:
             self._meters.setdefault(server.name, loadstats.SlotMeter(now))
-            self._told.setdefault(server.name, loads.Loads())
+            self._load_reports.setdefault(server.name, loads.Loads())
         if not self.owner:
             for slot in range(SLOTS):
-                self._give(slot, usable[slot % len(usable)].name, now - 60)
-            self._changed.clear()
-        self._take_over(usable, now)
-        rates = {s.name: self._rates(s.name, now) for s in usable}
-        self._tell(rates, now)
-        for server in usable:
-            self._plan(server, usable, rates[server.name], now)
-
-    def _give(self, slot: int, name: str, now: float) -> None:
-        for changed in (self.owner.get(slot), name):
-            if changed is not None:
-                self._changed[changed] = now
+                self._assign(
+                    slot, up_servers[slot % len(up_servers)].name, now - 60
+                )
+            self._slots_changed_at.clear()
+        self._take_over(up_servers, now)
+        rates = {s.name: self._slot_rates(s.name, now) for s in up_servers}
+        self._report_loads(rates, now)
+        for server in up_servers:
+            self._move_slots(server, up_servers, rates[server.name], now)
+
+    def _assign(self, slot: int, name: str, now: float) -> None:
+        for affected in (self.owner.get(slot), name):
+            if affected is not None:
+                self._slots_changed_at[affected] = now
         self.owner[slot] = name
-        self._since[slot] = now
+        self._owned_since[slot] = now
 
-    def _take_over(self, usable: list[Server], now: float) -> None:
-        names = [server.name for server in usable if server.weight]
+    def _take_over(self, up_servers: list[Server], now: float) -> None:
+        names = [server.name for server in up_servers if server.weight]
         counts = dict.fromkeys(names, 0)
-        alive = {server.name for server in usable}
-        lost = [s for s, o in self.owner.items() if o not in alive]
-        for slot in lost:
-            heir = min(
+        up_names = {server.name for server in up_servers}
+        lost_slots = [s for s, o in self.owner.items() if o not in up_names]
+        for slot in lost_slots:
+            successor = min(
                 names, key=lambda name: (counts[name], _hash(slot, name))
             )
-            counts[heir] += 1
-            self._give(slot, heir, now)
+            counts[successor] += 1
+            self._assign(slot, successor, now)
             self.moved_slots += 1
 
-    def _rates(self, name: str, now: float) -> dict[int, float]:
-        since = {s: self._since[s] for s, o in self.owner.items() if o == name}
-        return self._meters[name].rates(since, now)
-
-    def _tell(self, rates: dict[str, dict[int, float]], now: float) -> None:
-        for name, own in rates.items():
-            settled = now - self._changed.get(name, -60.0) >= 5.0
-            total = sum(own.values())
-            told = total if settled or total < 5.0 else None
-            for known in self._told.values():
-                known.note(name, told, now)
+    def _slot_rates(self, name: str, now: float) -> dict[int, float]:
+        owned_since = {
+            s: self._owned_since[s] for s, o in self.owner.items() if o == name
+        }
+        return self._meters[name].rates(owned_since, now)
 
-    def _plan(
+    def _report_loads(
+        self, rates: dict[str, dict[int, float]], now: float
+    ) -> None:
+        for name, slot_rates in rates.items():
+            # As in the daemon: slots that have just changed their owner are not
+            # measured yet, and a low total is reported in any case.
+            measured = now - self._slots_changed_at.get(name, -60.0) >= 5.0
+            total = sum(slot_rates.values())
+            reported = total if measured or total < 5.0 else None
+            for reports in self._load_reports.values():
+                reports.note(name, reported, now)
+
+    def _move_slots(
         self,
         server: Server,
-        usable: list[Server],
+        up_servers: list[Server],
         rates: dict[int, float],
         now: float,
     ) -> None:
-        fresh = self._told[server.name].fresh(now)
+        known_rates = self._load_reports[server.name].fresh(now)
         members = [
             placement.Member(
                 other.name,
@@ -233,13 +254,13 @@
                 other.data_centre,
                 other.weight,
                 tuple(s for s, o in self.owner.items() if o == other.name),
-                fresh.get(other.name),
+                known_rates.get(other.name),
             )
-            for other in usable
+            for other in up_servers
         ]
         for move in placement.plan_moves(SLOTS, members, rates)[:64]:
             if move.source == server.name:
-                self._give(move.slot, move.destination, now)
+                self._assign(move.slot, move.destination, now)
                 self.moved_slots += 1
 
 
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,7 +1,8 @@
-"""Scenarios of load and faults: the policy beside its baselines.
+"""Compares placement policies in scenarios of load and faults.
 
-Requests meet servers with a number of slots; a policy places their keys.
-The decision functions are those that ship; servers and clock are made up.
+Simulated servers, each of which runs a limited number of requests at once, get
+the requests that a policy places on them. The placement of tamarackgap is
+computed by its own functions.
 """
 
 import heapq
@@ -15,20 +16,26 @@
 
 matplotlib.use("Agg")
 
-_SECONDS = 90
-_EVENT_AT = 30
-_RATE = 900.0
-_KEYS = 4000
-_SLOTS_A_SERVER = 8
+_DURATION_S = 90
+_EVENT_AT_S = 30
+_REQUESTS_PER_S = 900.0
+_KEY_COUNT = 4000
+_SERVER_CAPACITY = 8
 _DEADLINE_S = 2.0
-# A loss costs what bench/recovery.py measured; a move some round trips.
-_LOSS_S = 0.56
-_MOVE_S = 0.03
-_RESENDS = 4
+# How long a key is not served: after the loss of its server, as measured by
+# bench/recovery.py, and during a planned move, which takes a few round trips.
+_TAKEOVER_GAP_S = 0.56
+_MOVE_GAP_S = 0.03
+_MAX_SENDS = 4
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """What happens, at `_EVENT_AT` seconds."""
+    """A scenario, named by what happens at `_EVENT_AT_S`.
+
+    Attributes:
+        name: Name in the table of results.
+        event: Kinds of events, joined by "+"; empty for none.
+    """
 
     name: str
     event: str
@@ -49,7 +56,19 @@
 
 
 class RunStats(msgspec.Struct):
-    """What is counted in one run."""
+    """Counts and times of one simulation.
+
+    Attributes:
+        latencies: Latencies of served requests, seconds.
+        per_second: Requests that each server got, for each second.
+        refused: Requests that were refused.
+        doubled: Non-idempotent requests that ran twice.
+        moved_keys: How often the server of a key changed between requests.
+        moved_at_event: Slots moved in the first seconds after the event.
+        lost_slots: Slots of the servers that were lost at the event.
+        unserved_s: Time for which keys were not served, summed, seconds.
+        crashed: Servers that the poison request crashed.
+    """
 
     latencies: list[float] = []
     per_second: list[dict[str, int]] = []
@@ -63,12 +82,18 @@
 
 
 class Simulation:
-    """One policy in one scenario."""
+    """Simulates one policy in one scenario."""
 
     def __init__(
         self, make: type[policies.Policy], scenario: Scenario, seed: int
     ) -> None:
-        """Creates twelve servers in three data centres."""
+        """Creates twelve servers in three data centres.
+
+        Args:
+            make: Class of the policy.
+            scenario: Scenario to simulate.
+            seed: Seed of the requests and of the policy.
+        """
         self.rng = random.Random(seed)
         self.policy = make(seed)
         self.scenario = scenario
@@ -76,133 +101,144 @@
             policies.Server(f"s{index}", "abc"[index % 3])
             for index in range(12)
         ]
-        self.keys = traffic.ZipfKeys(self.rng, _KEYS, 0.9)
+        self.keys = traffic.ZipfKeys(self.rng, _KEY_COUNT, 0.9)
         self.tally = RunStats(latencies=[], per_second=[])
-        self._free = {s.name: [0.0] * _SLOTS_A_SERVER for s in self.servers}
-        self._placed: dict[str, str] = {}
-        self._blocked: dict[str, float] = {}
-        self._down_until: dict[str, float] = {}
+        self._free_at = {s.name: [0.0] * _SERVER_CAPACITY for s in self.servers}
+        self._last_server: dict[str, str] = {}
+        self._unserved_until: dict[str, float] = {}
+        self._restart_at: dict[str, float] = {}
         self._lost_at: dict[str, float] = {}
         self._tried: dict[int, int] = {}
-        self._convicted = False
+        self._poison_refused = False
         self._moved_before = 0
 
     def run(self) -> RunStats:
-        """Runs all seconds."""
+        """Simulates all seconds and returns the counts."""
         number = 0
-        for now in range(_SECONDS):
-            self._event(now)
-            self._restore(now)
+        for now in range(_DURATION_S):
+            self._inject_event(now)
+            self._restart_servers(now)
             self.policy.step(self.servers, float(now))
-            if now == _EVENT_AT + 4:
+            if now == _EVENT_AT_S + 4:
                 moved = getattr(self.policy, "moved_slots", 0)
                 self.tally.moved_at_event = moved - self._moved_before
             self.tally.per_second.append({})
             requests = traffic.requests_of_second(
-                self.rng, self.keys, now, _RATE, number
+                self.rng, self.keys, now, _REQUESTS_PER_S, number
             )
             number += len(requests)
             for request in requests:
                 self._serve(request)
-            if "poison" in self.scenario.event and now >= _EVENT_AT:
-                self._poison(now)
+            if "poison" in self.scenario.event and now >= _EVENT_AT_S:
+                self._send_poison(now)
         return self.tally
 
-    def _event(self, now: int) -> None:
+    def _inject_event(self, now: int) -> None:
         event = self.scenario.event
-        if now == _EVENT_AT:
+        if now == _EVENT_AT_S:
             self._moved_before = getattr(self.policy, "moved_slots", 0)
             if "flash" in event:
                 self.keys.set_hot_key("k7", 0.12)
             if event == "shift":
                 self.keys.change_hottest(48)
             if "loss" in event:
-                self._lose("s4", now, 40)
+                self._stop_server("s4", now, 40)
             if event == "centre":
                 for server in self.servers:
                     if server.data_centre == "b":
-                        self._lose(server.name, now, 40)
+                        self._stop_server(server.name, now, 40)
             if event == "weight":
                 for server in self.servers:
                     if server.data_centre == "c":
                         server.weight = 50
-        if event == "rolling" and now >= _EVENT_AT and now % 4 == 0:
-            index = (now - _EVENT_AT) // 4
+        if event == "rolling" and now >= _EVENT_AT_S and now % 4 == 0:
+            index = (now - _EVENT_AT_S) // 4
             if index < len(self.servers):
-                self._lose(f"s{index}", now, 3)
+                self._stop_server(f"s{index}", now, 3)
 
-    def _lose(self, name: str, now: float, seconds: float) -> None:
+    def _stop_server(self, name: str, now: float, seconds: float) -> None:
         server = next(s for s in self.servers if s.name == name)
         server.up = False
-        if now == _EVENT_AT:
+        if now == _EVENT_AT_S:
             owners = getattr(self.policy, "owner", {}).values()
             self.tally.lost_slots += sum(owner == name for owner in owners)
-        self._down_until[name] = now + seconds
+        self._restart_at[name] = now + seconds
         self._lost_at[name] = now
 
-    def _restore(self, now: int) -> None:
+    def _restart_servers(self, now: int) -> None:
         for server in self.servers:
-            if not server.up and now >= self._down_until[server.name]:
+            if not server.up and now >= self._restart_at[server.name]:
                 server.up = True
-                self._free[server.name] = [float(now)] * _SLOTS_A_SERVER
+                self._free_at[server.name] = [float(now)] * _SERVER_CAPACITY
 
-    def _anybody(self) -> bool:
+    def _any_server_available(self) -> bool:
         return any(server.up and server.weight for server in self.servers)
 
     def _serve(self, request: traffic.Request) -> None:
-        if not self._anybody():
+        if not self._any_server_available():
             self.tally.refused += 1
             return
         name = self.policy.place(request.key, self.servers)
-        wait = self._changed(request, name)
-        free = self._free[name]
-        begins = max(request.sent_at + wait, free[0])
-        ends = begins + request.service_s
-        if ends - request.sent_at > _DEADLINE_S:
+        wait_s = self._wait_for_owner(request, name)
+        free_at = self._free_at[name]
+        starts_at = max(request.sent_at + wait_s, free_at[0])
+        ends_at = starts_at + request.service_s
+        if ends_at - request.sent_at > _DEADLINE_S:
             self.tally.refused += 1
             return
-        heapq.heapreplace(free, ends)
+        heapq.heapreplace(free_at, ends_at)
         self.policy.record_request(request.key, name, request.sent_at)
-        self.tally.latencies.append(ends - request.sent_at)
+        self.tally.latencies.append(ends_at - request.sent_at)
         second = self.tally.per_second[-1]
         second[name] = second.get(name, 0) + 1
 
-    def _changed(self, request: traffic.Request, name: str) -> float:
-        """Returns how long a key whose owner has changed is not served."""
-        before = self._placed.get(request.key)
-        self._placed[request.key] = name
+    def _wait_for_owner(self, request: traffic.Request, name: str) -> float:
+        """Returns how long a request waits for a new owner of its key."""
+        before = self._last_server.get(request.key)
+        self._last_server[request.key] = name
         if before is not None and before != name:
             lost = request.sent_at - self._lost_at.get(before, -99.0) < 1.0
-            gap = _LOSS_S if lost else _MOVE_S
+            gap = _TAKEOVER_GAP_S if lost else _MOVE_GAP_S
             self.tally.moved_keys += 1
             self.tally.unserved_s += gap
-            self._blocked[request.key] = request.sent_at + gap
+            self._unserved_until[request.key] = request.sent_at + gap
             if lost and not request.idempotent and self.policy.resends_unsafely:
-                # It was in progress when its server was lost, in the share
-                # of time that servers are busy: the resend runs it again.
+                # A request that was in progress when its server was lost runs
+                # again when it is resent. One in ten is in progress, as
+                # servers are busy for that share of the time.
                 self.tally.doubled += self.rng.random() < 0.1
-        return max(0.0, self._blocked.get(request.key, 0.0) - request.sent_at)
-
-    def _poison(self, now: int) -> None:
-        """A caller sends a request that crashes servers, again and again."""
-        for _ in range(_RESENDS):
-            if self._convicted or now > _EVENT_AT + 3 or not self._anybody():
+        return max(
+            0.0, self._unserved_until.get(request.key, 0.0) - request.sent_at
+        )
+
+    def _send_poison(self, now: int) -> None:
+        """Sends a request that crashes its server, and resends it each time."""
+        for _ in range(_MAX_SENDS):
+            if (
+                self._poison_refused
+                or now > _EVENT_AT_S + 3
+                or not self._any_server_available()
+            ):
                 return
             name = self.policy.place("poison", self.servers)
-            self._lose(name, now, 5)
+            self._stop_server(name, now, 5)
             self.tally.crashed += 1
-            # Suspected after the first crash, convicted by the second.
+            # The first crash makes the request suspect, the second confirms
+            # that it crashes servers: it is refused from then on.
             if self.policy.remembers_crashes and self.tally.crashed >= 2:
-                self._convicted = True
+                self._poison_refused = True
             self.policy.step(self.servers, float(now))
 
 
 def _imbalance(
-    tally: RunStats, servers: list[policies.Server], begin: int
+    tally: RunStats, servers: list[policies.Server], first_second: int
 ) -> float:
-    """Returns the greatest load per weight over the mean, late in the run."""
+    """Returns the greatest load per weight, divided by the mean.
+
+    Only the requests from `first_second` on count.
+    """
     totals = {server.name: 0 for server in servers}
-    for second in tally.per_second[begin:]:
+    for second in tally.per_second[first_second:]:
         for name, count in second.items():
             totals[name] += count
     shares = [totals[s.name] / s.weight for s in servers if s.weight]
@@ -212,16 +248,16 @@
 def _row(
     make: type[policies.Policy], scenario: Scenario, seed: int
 ) -> report.Row:
-    running = Simulation(make, scenario, seed)
-    tally = running.run()
+    simulation = Simulation(make, scenario, seed)
+    tally = simulation.run()
     return {
         "scenario": scenario.name,
         "policy": make.name,
         "imbalance": round(
-            _imbalance(tally, running.servers, _SECONDS - 20), 3
+            _imbalance(tally, simulation.servers, _DURATION_S - 20), 3
         ),
         "keys_moved": tally.moved_keys,
-        "slots_moved": getattr(running.policy, "moved_slots", ""),
+        "slots_moved": getattr(simulation.policy, "moved_slots", ""),
         "in_4_s": tally.moved_at_event or "",
         "lost_slots": tally.lost_slots or "",
         "unserved_key_s": round(tally.unserved_s, 1),
@@ -233,10 +269,16 @@
 
 
 def run(quick: bool) -> None:
-    """Runs all policies in all scenarios."""
-    chosen = SCENARIOS[:2] if quick else SCENARIOS
+    """Simulates all policies in all scenarios.
+
+    Args:
+        quick: Whether to run the first two scenarios only, without the plot.
+    """
+    scenarios = SCENARIOS[:2] if quick else SCENARIOS
     rows = [
-        _row(make, scenario, 7) for scenario in chosen for make in policies.ALL
+        _row(make, scenario, 7)
+        for scenario in scenarios
+        for make in policies.ALL
     ]
     report.show("policy", rows)
     if not quick:
@@ -252,8 +294,8 @@
     ):
         for index, make in enumerate(policies.ALL):
             values = [row[column] for row in rows if row["policy"] == make.name]
-            places = [n + index * width for n in range(len(names))]
-            axis.bar(places, values, width, label=make.name)
+            positions = [n + index * width for n in range(len(names))]
+            axis.bar(positions, values, width, label=make.name)
         axis.set_ylabel(column)
         if column != "imbalance":
             axis.set_yscale("symlog")
