--- a/bench/loads.py
+++ b/bench/loads.py
@@ -1,8 +1,8 @@
-"""A service under load: the shipped queue and choice beside earlier policies.
+"""Compares the admission queue and load balancing with earlier policies.
 
-Targets, clock and arrivals are made up; `admission` and `balancer` are those
-that ship. The earlier policies: a queue in order of arrival whose calls are
-kept until their deadline, and targets chosen in turn.
+Targets, clock and arrivals are simulated; the decisions are those of the
+modules `admission` and `balancer`. The earlier policies are a queue in order of
+arrival that keeps calls until their deadline, and round-robin over the targets.
 """
 
 import collections
@@ -17,21 +17,29 @@
 from bench import report
 from tamarackgap.traffic import admission, balancer
 
-_SECONDS = 20.0
-_SLOTS = 6
-_SWEEP_S = 0.02
-_STATUS_S = 0.25
-# With many daemons.
-_RARE_STATUS_S = 0.75
-# Targets that a call is tried at before its caller is told.
-_TRIES = 2
-# A caller whose call was refused comes back once.
-_RETURNS = 1
-_LOST_SHARE = 0.05
+_ARRIVALS_END_S = 20.0
+_TARGET_SLOTS = 6
+_SWEEP_INTERVAL_S = 0.02
+_REPORT_INTERVAL_S = 0.25
+# Larger deployments report less often.
+_LARGE_REPORT_INTERVAL_S = 0.75
+# Targets that a call is offered to before its caller is refused.
+_MAX_TARGETS = 2
+# How often a caller sends its call again after a refusal.
+_MAX_RETRIES = 1
+_ANSWER_LOSS_RATE = 0.05
 
 
 class CallKind(msgspec.Struct, frozen=True):
-    """A kind of call: rank, latency objective, deadline and work, seconds."""
+    """A kind of call.
+
+    Attributes:
+        name: Name of the kind.
+        rank: Priority; 0 goes first.
+        latency_objective: Time within which an answer is of full use, seconds.
+        deadline: Time after which an answer is of no use, seconds.
+        work: Mean time that a target of usual speed takes, seconds.
+    """
 
     name: str
     rank: int
@@ -48,19 +56,20 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """What the targets meet.
+    """Load and targets of one simulation.
 
     Attributes:
-        name: Its name.
-        load: Calls against what all targets can run.
-        burst_load: The same, between 6 and 10 s.
-        slowdowns: How much longer each target takes than usual.
+        name: Name in the table of results.
+        load: Arrival rate as a share of the capacity of all targets.
+        burst_load: The same, from 6 to 10 s.
+        slowdowns: Duration of calls at each target, relative to the usual one.
         last_joins_at: When the last target joins, seconds; 0 is at the start.
-        lossy_targets: How many of the targets lose one answer in 20.
-        entry_count: How many daemons send calls, each by what it knows itself:
-            answers tell it of a target's load as well, it tries a second
-            target, and targets tell of theirs at different times.
-        slots: Calls that a target runs at once.
+        lossy_targets: Number of targets that lose one answer in 20.
+        entry_count: Number of daemons that send calls. If there are several,
+            each knows the targets from their reports and from its own answers,
+            tries a second target after a refusal, and targets send their
+            reports at different times.
+        slots: Number of calls that a target runs at once.
         report_interval_s: Time between load reports of a target, seconds.
     """
 
@@ -71,8 +80,8 @@
     last_joins_at: float = 0.0
     lossy_targets: int = 0
     entry_count: int = 1
-    slots: int = _SLOTS
-    report_interval_s: float = _STATUS_S
+    slots: int = _TARGET_SLOTS
+    report_interval_s: float = _REPORT_INTERVAL_S
 
 
 _DATA_CENTRES = ("a", "b", "c")
@@ -88,7 +97,15 @@
     Scenario("answers lost", 0.85, 0.85, (1, 1, 1, 1), lossy_targets=2),
     Scenario("twelve entries", 0.7, 0.9, (0.7, 1, 1, 2), entry_count=12),
     Scenario(
-        "many entries", 0.5, 0.8, _MIXED_SPEEDS, 0, 0, 75, 5, _RARE_STATUS_S
+        "many entries",
+        0.5,
+        0.8,
+        _MIXED_SPEEDS,
+        0,
+        0,
+        75,
+        5,
+        _LARGE_REPORT_INTERVAL_S,
     ),
     Scenario(
         "many entries, full",
@@ -99,21 +116,24 @@
         0,
         75,
         5,
-        _RARE_STATUS_S,
+        _LARGE_REPORT_INTERVAL_S,
     ),
 )
 
 
 class CallerStats(msgspec.Struct):
-    """What callers got.
+    """Counts what callers got.
 
     Attributes:
-        callers: Callers, by kind.
-        in_objective: Answers within their latency objective, by kind.
-        late: Later answers.
-        refused: Callers that were refused for good or got nothing.
+        callers: Number of callers, by kind of call.
+        in_objective: Number of answers within their latency objective, by
+            kind of call.
+        late: Number of answers after the objective, but within the deadline.
+        refused: Number of callers that were refused after all attempts, or got
+            no answer in time.
         refusal_delays_s: Time from arrival to each refusal, seconds.
-        last_target_starts: Calls started at the last target.
+        last_target_starts: When calls were started at the last target,
+            seconds.
     """
 
     callers: collections.Counter = msgspec.field(
@@ -129,57 +149,57 @@
 
     @property
     def share_in_objective(self) -> float:
-        """Share of the callers answered within their objective."""
+        """Share of callers answered within their latency objective."""
         return sum(self.in_objective.values()) / max(
             1, sum(self.callers.values())
         )
 
     def share(self, name: str) -> float:
-        """Share of a kind's callers answered within their objective."""
+        """Returns the share of a kind's callers answered in the objective."""
         return self.in_objective[name] / max(1, self.callers[name])
 
     def refusal_delay(self, share: float) -> float:
-        """Time after which a part of all refusals had been told, seconds."""
-        held = sorted(self.refusal_delays_s)
-        return held[int(len(held) * share)] if held else 0.0
+        """Returns the delay that a share of the refusals does not exceed."""
+        delays = sorted(self.refusal_delays_s)
+        return delays[int(len(delays) * share)] if delays else 0.0
 
 
 class FifoQueue:
-    """The earlier queue: in order of arrival, kept until the deadline."""
+    """The earlier queue, which keeps calls in order until their deadline."""
 
     def __init__(self) -> None:
-        self.capacity = _SLOTS
+        self.capacity = _TARGET_SLOTS
         self.running = 0
         self.relative_latency = 0.0
         self._queue: collections.deque = collections.deque()
 
     @property
     def waiting(self) -> int:
-        """Number of calls that wait."""
+        """Number of calls in the queue."""
         return len(self._queue)
 
     def offer(self, waiting: admission.QueuedCall, now: float) -> None:
-        """Queues a call."""
+        """Queues a call, and starts it if a slot is free."""
         self._queue.append(waiting)
         self.start_waiting(now)
 
     def finish(
         self, worked: float | None, latency_objective: float, now: float
     ) -> None:
-        """Frees a slot."""
+        """Frees the slot of a call that has ended."""
         del worked, latency_objective
         self.running -= 1
         self.start_waiting(now)
 
     def refuse_late(self, now: float) -> None:
-        """Refuses what is past its deadline."""
+        """Refuses calls whose deadline has passed."""
         while self._queue and self._queue[0].deadline <= now:
             self._queue.popleft().refuse(
                 admission.Refusal(0.1, 0.0, 0.0, self.running, len(self._queue))
             )
 
     def start_waiting(self, now: float) -> None:
-        """Starts calls while there are slots."""
+        """Starts calls while slots are free."""
         self.refuse_late(now)
         while self._queue and self.running < self.capacity:
             self.running += 1
@@ -188,39 +208,45 @@
 
 class _Target:
     def __init__(
-        self, name: str, data_centre: str, queue: object, speed: float
+        self, name: str, data_centre: str, queue: object, slowdown: float
     ) -> None:
         self.data_centre = data_centre
         self.queue = queue
-        self.speed = speed
+        self.slowdown = slowdown
         self.name = name
 
 
 class Simulation:
-    """One scenario under one policy."""
+    """Simulates one scenario under one pair of policies."""
 
     def __init__(self, scenario: Scenario, shipped: bool, seed: int) -> None:
-        """Prepares the targets."""
+        """Creates the targets and entries.
+
+        Args:
+            scenario: Scenario to simulate.
+            shipped: Whether to use the current policies, not the earlier ones.
+            seed: Seed of arrivals and durations.
+        """
         self.tally = CallerStats()
         self._scenario = scenario
         self._shipped = shipped
         self._rng = random.Random(seed)
-        self._many = scenario.entry_count > 1
+        self._many_entries = scenario.entry_count > 1
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
-        self._turn = itertools.count()
+        self._event_numbers = itertools.count()
+        self._round_robin = itertools.count()
         self._targets = [
             _Target(
                 f"t{index}",
                 _DATA_CENTRES[index % len(_DATA_CENTRES)],
-                self._queue(),
-                speed,
+                self._create_queue(),
+                slowdown,
             )
-            for index, speed in enumerate(scenario.slowdowns)
+            for index, slowdown in enumerate(scenario.slowdowns)
         ]
-        # What each entry knows of each target, by the target's name.
-        self._told = [
+        # The last view state of each target by name, for each entry.
+        self._views = [
             {
                 target.name: balancer.Candidate(
                     target.name,
@@ -232,111 +258,141 @@
             }
             for _ in range(scenario.entry_count)
         ]
-        self._near = {
-            id(known): _DATA_CENTRES[index % len(_DATA_CENTRES)]
-            if self._many
+        self._data_centre_of_entry = {
+            id(view): _DATA_CENTRES[index % len(_DATA_CENTRES)]
+            if self._many_entries
             else ""
-            for index, known in enumerate(self._told)
+            for index, view in enumerate(self._views)
         }
 
     def run(self) -> CallerStats:
-        """Plays it; returns what callers got."""
+        """Runs the simulation and retries_left what callers got."""
         for target in self._targets:
-            self._tell(target)
-            shift = self._scenario.report_interval_s
-            if self._many:
-                shift *= self._rng.random()
-            self._at(shift, functools.partial(self._tell_again, target))
-        self._at(0.0, self._sweep)
-        self._at(0.0, self._arrive)
-        while self._events and self._events[0][0] < _SECONDS + 3:
+            self._report_load(target)
+            first_report_at = self._scenario.report_interval_s
+            if self._many_entries:
+                first_report_at *= self._rng.random()
+            self._schedule(
+                first_report_at,
+                functools.partial(self._report_periodically, target),
+            )
+        self._schedule(0.0, self._sweep)
+        self._schedule(0.0, self._add_caller)
+        while self._events and self._events[0][0] < _ARRIVALS_END_S + 3:
             self._now, _, action = heapq.heappop(self._events)
             action()
         return self.tally
 
-    def _queue(self) -> object:
+    def _create_queue(self) -> object:
         if not self._shipped:
             return FifoQueue()
         queue = admission.AdmissionQueue()
         queue.resize(self._scenario.slots, 0.0)
         return queue
 
-    def _at(self, moment: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (moment, next(self._order), action))
+    def _schedule(self, at: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._event_numbers), action))
 
-    def _present(self) -> list[_Target]:
+    def _joined_targets(self) -> list[_Target]:
         scenario = self._scenario
         if scenario.last_joins_at and self._now < scenario.last_joins_at:
             return self._targets[:-1]
         return self._targets
 
-    def _arrive(self) -> None:
-        if self._now >= _SECONDS:
+    def _add_caller(self) -> None:
+        if self._now >= _ARRIVALS_END_S:
             return
-        burst = 6 <= self._now < 10
-        load = self._scenario.burst_load if burst else self._scenario.load
+        in_burst = 6 <= self._now < 10
+        load = self._scenario.burst_load if in_burst else self._scenario.load
         work = sum(kind.work for kind in KINDS) / len(KINDS)
         capacity = sum(
-            self._scenario.slots / speed for speed in self._scenario.slowdowns
+            self._scenario.slots / slowdown
+            for slowdown in self._scenario.slowdowns
+        )
+        calls_per_s = load * capacity / work
+        self._schedule(
+            self._now + self._rng.expovariate(calls_per_s), self._add_caller
         )
-        rate = load * capacity / work
-        self._at(self._now + self._rng.expovariate(rate), self._arrive)
         kind = self._rng.choice(KINDS)
         self.tally.callers[kind.name] += 1
-        self._ask(kind, self._now, _RETURNS)
+        self._send_call(kind, self._now, _MAX_RETRIES)
 
-    def _ask(self, kind: CallKind, first: float, returns: int) -> None:
-        known = self._rng.choice(self._told) if self._many else self._told[0]
-        self._try(kind, first, self._now, returns, known, frozenset())
+    def _send_call(
+        self, kind: CallKind, first_sent_at: float, retries_left: int
+    ) -> None:
+        view = (
+            self._rng.choice(self._views)
+            if self._many_entries
+            else self._views[0]
+        )
+        self._offer(
+            kind, first_sent_at, self._now, retries_left, view, frozenset()
+        )
 
-    def _try(
+    def _offer(
         self,
         kind: CallKind,
-        first: float,
-        came: float,
-        returns: int,
-        known: dict[str, balancer.Candidate],
+        first_sent_at: float,
+        arrived_at: float,
+        retries_left: int,
+        view: dict[str, balancer.Candidate],
         tried: frozenset[str],
     ) -> None:
-        target = self._choose(known, tried)
-        told = known[target.name]
-        told.sent_since_report += 1
+        target = self._choose(view, tried)
+        candidate = view[target.name]
+        candidate.sent_since_report += 1
 
         def start() -> None:
             if target is self._targets[-1]:
                 self.tally.last_target_starts.append(self._now)
-            work = kind.work * target.speed * self._rng.uniform(0.6, 1.4)
-            self._at(self._now + work, lambda: done(work))
+            work = kind.work * target.slowdown * self._rng.uniform(0.6, 1.4)
+            self._schedule(self._now + work, lambda: finish(work))
 
-        def done(work: float) -> None:
+        def finish(work: float) -> None:
             target.queue.finish(work, kind.latency_objective, self._now)
             lossy = target in self._targets[: self._scenario.lossy_targets]
-            if lossy and self._rng.random() < _LOST_SHARE:
-                told.record_failure(self._now)
+            if lossy and self._rng.random() < _ANSWER_LOSS_RATE:
+                candidate.record_failure(self._now)
                 self.tally.refused += 1
                 return
-            told.record_success(self._now)
-            if self._many:
-                self._learn(told, target)
-            taken = self._now - first
-            if taken <= kind.latency_objective:
+            candidate.record_success(self._now)
+            if self._many_entries:
+                self._record_load(candidate, target)
+            latency = self._now - first_sent_at
+            if latency <= kind.latency_objective:
                 self.tally.in_objective[kind.name] += 1
-            elif self._now <= came + kind.deadline:
+            elif self._now <= arrived_at + kind.deadline:
                 self.tally.late += 1
             else:
                 self.tally.refused += 1
 
         def refuse(refusal: admission.Refusal) -> None:
-            if self._many:
-                self._learn(told, target)
-            seen = tried | {target.name}
-            if self._many and self._shipped and len(seen) < _TRIES:
-                self._try(kind, first, came, returns, known, seen)
+            if self._many_entries:
+                self._record_load(candidate, target)
+            tried_now = tried | {target.name}
+            if (
+                self._many_entries
+                and self._shipped
+                and len(tried_now) < _MAX_TARGETS
+            ):
+                self._offer(
+                    kind,
+                    first_sent_at,
+                    arrived_at,
+                    retries_left,
+                    view,
+                    tried_now,
+                )
                 return
-            self.tally.refusal_delays_s.append(self._now - came)
-            if returns:
-                again = self._now + max(0.05, refusal.retry_after)
-                self._at(again, lambda: self._ask(kind, first, returns - 1))
+            self.tally.refusal_delays_s.append(self._now - arrived_at)
+            if retries_left:
+                retry_at = self._now + max(0.05, refusal.retry_after)
+                self._schedule(
+                    retry_at,
+                    lambda: self._send_call(
+                        kind, first_sent_at, retries_left - 1
+                    ),
+                )
             else:
                 self.tally.refused += 1
 
@@ -344,8 +400,8 @@
             admission.QueuedCall(
                 kind.rank,
                 kind.latency_objective,
-                first + kind.latency_objective,
-                came + kind.deadline,
+                first_sent_at + kind.latency_objective,
+                arrived_at + kind.deadline,
                 start,
                 refuse,
             ),
@@ -353,65 +409,73 @@
         )
 
     def _choose(
-        self, known: dict[str, balancer.Candidate], tried: frozenset[str]
+        self, view: dict[str, balancer.Candidate], tried: frozenset[str]
     ) -> _Target:
-        present = self._present()
+        joined = self._joined_targets()
         if not self._shipped:
-            return present[next(self._turn) % len(present)]
+            return joined[next(self._round_robin) % len(joined)]
         chosen = balancer.choose(
-            (known[target.name] for target in present),
+            (view[target.name] for target in joined),
             tried,
             self._now,
             self._rng,
-            self._near[id(known)],
+            self._data_centre_of_entry[id(view)],
         )
-        return next(t for t in present if known[t.name] is chosen)
-
-    def _learn(self, told: balancer.Candidate, target: _Target) -> None:
-        """Lets an entry know a target's load, as an answer tells it."""
-        told.reported_load = target.queue.running + target.queue.waiting
-        told.sent_since_report = 0
-        told.last_heard = self._now
-
-    def _tell(self, target: _Target) -> None:
-        """Lets all entries know of a target, as its daemon does."""
-        for known in self._told:
-            told = known[target.name]
-            told.capacity = target.queue.capacity
-            told.relative_latency = target.queue.relative_latency
-            self._learn(told, target)
-
-    def _tell_again(self, target: _Target) -> None:
-        if target in self._present():
-            self._tell(target)
-        if self._now < _SECONDS + 3:
-            again = functools.partial(self._tell_again, target)
-            self._at(self._now + self._scenario.report_interval_s, again)
+        return next(target for target in joined if view[target.name] is chosen)
+
+    def _record_load(
+        self, candidate: balancer.Candidate, target: _Target
+    ) -> None:
+        """Records the load of a target, as its answers report it."""
+        candidate.reported_load = target.queue.running + target.queue.waiting
+        candidate.sent_since_report = 0
+        candidate.last_heard = self._now
+
+    def _report_load(self, target: _Target) -> None:
+        """Reports a target's state to all entries, as its daemon does."""
+        for view in self._views:
+            candidate = view[target.name]
+            candidate.capacity = target.queue.capacity
+            candidate.relative_latency = target.queue.relative_latency
+            self._record_load(candidate, target)
+
+    def _report_periodically(self, target: _Target) -> None:
+        if target in self._joined_targets():
+            self._report_load(target)
+        if self._now < _ARRIVALS_END_S + 3:
+            report_again = functools.partial(self._report_periodically, target)
+            self._schedule(
+                self._now + self._scenario.report_interval_s, report_again
+            )
 
     def _sweep(self) -> None:
         for target in self._targets:
             target.queue.refuse_late(self._now)
-        if self._now < _SECONDS + 3:
-            self._at(self._now + _SWEEP_S, self._sweep)
+        if self._now < _ARRIVALS_END_S + 3:
+            self._schedule(self._now + _SWEEP_INTERVAL_S, self._sweep)
 
 
 def run(quick: bool) -> None:
-    """Prints what callers get under both policies, and their ratio."""
+    """Prints what callers get under the earlier and the current policies.
+
+    Args:
+        quick: Whether to use one seed instead of five.
+    """
     rows = []
     for scenario in SCENARIOS:
         for seed in range(1 if quick else 5):
-            old = Simulation(scenario, False, seed).run()
-            new = Simulation(scenario, True, seed).run()
+            before = Simulation(scenario, False, seed).run()
+            after = Simulation(scenario, True, seed).run()
             rows.append(
                 {
                     "scenario": scenario.name,
                     "seed": seed,
-                    "in_aim_before": round(old.share_in_objective, 3),
-                    "in_aim": round(new.share_in_objective, 3),
-                    "inner_before": round(old.share("inner"), 3),
-                    "inner": round(new.share("inner"), 3),
-                    "told_s_before": round(old.refusal_delay(0.9), 3),
-                    "told_s": round(new.refusal_delay(0.9), 3),
+                    "in_aim_before": round(before.share_in_objective, 3),
+                    "in_aim": round(after.share_in_objective, 3),
+                    "inner_before": round(before.share("inner"), 3),
+                    "inner": round(after.share("inner"), 3),
+                    "told_s_before": round(before.refusal_delay(0.9), 3),
+                    "told_s": round(after.refusal_delay(0.9), 3),
                 }
             )
     report.show("loads", rows)
