--- a/bench/datapath.py
+++ b/bench/datapath.py
@@ -32,8 +32,7 @@
 )
 # Requests per core and second that a daemon is to reach.
 _REQUIRED_REQUESTS_PER_CORE_S = 3667
-
-
+# Headers of a request as a daemon sends it to a target.
 _HEADERS = {
     "X-Run-Id": "r",
     "X-Request-Id": "bench",
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -85,7 +85,7 @@
 
 
 _DATA_CENTRES = ("a", "b", "c")
-_MIXED_SPEEDS = (0.7, 1, 1, 2) * 6
+_MIXED_SLOWDOWNS = (0.7, 1, 1, 2) * 6
 
 SCENARIOS = (
     Scenario("steady", 0.7, 0.7, (1, 1, 1, 1)),
@@ -100,7 +100,7 @@
         "many entries",
         0.5,
         0.8,
-        _MIXED_SPEEDS,
+        _MIXED_SLOWDOWNS,
         0,
         0,
         75,
@@ -111,7 +111,7 @@
         "many entries, full",
         0.8,
         1.1,
-        _MIXED_SPEEDS,
+        _MIXED_SLOWDOWNS,
         0,
         0,
         75,
@@ -159,7 +159,7 @@
         return self.in_objective[name] / max(1, self.callers[name])
 
     def refusal_delay(self, share: float) -> float:
-        """Returns the delay that a share of the refusals does not exceed."""
+        """Returns the delay that a share of refusals stays within, seconds."""
         delays = sorted(self.refusal_delays_s)
         return delays[int(len(delays) * share)] if delays else 0.0
 
@@ -178,16 +178,16 @@
         """Number of calls in the queue."""
         return len(self._queue)
 
-    def offer(self, waiting: admission.QueuedCall, now: float) -> None:
+    def offer(self, call: admission.QueuedCall, now: float) -> None:
         """Queues a call, and starts it if a slot is free."""
-        self._queue.append(waiting)
+        self._queue.append(call)
         self.start_waiting(now)
 
     def finish(
-        self, worked: float | None, latency_objective: float, now: float
+        self, duration: float | None, latency_objective: float, now: float
     ) -> None:
         """Frees the slot of a call that has ended."""
-        del worked, latency_objective
+        del duration, latency_objective
         self.running -= 1
         self.start_waiting(now)
 
@@ -207,6 +207,11 @@
 
 
 class _Target:
+    """A target and its queue.
+
+    `slowdown` is the duration of its calls, relative to the usual one.
+    """
+
     def __init__(
         self, name: str, data_centre: str, queue: object, slowdown: float
     ) -> None:
