--- a/tamarackgap/commands/cmdline.py
+++ b/tamarackgap/commands/cmdline.py
@@ -82,7 +82,7 @@
 @cli.command("daemon", epilog=_EXIT_CODES)
 @_config_option
 def daemon_command(path: pathlib.Path) -> None:
-    """Run the process beside a target, and drain it on SIGTERM."""
+    """Run the daemon of a local target, and drain it on SIGTERM."""
     settings = _load_settings(path)
     try:
         daemon.run(settings)
--- a/tamarackgap/ownership/endedincarnations.py
+++ b/tamarackgap/ownership/endedincarnations.py
@@ -1,8 +1,8 @@
-"""What ended incarnations of this process still bind it to.
+"""Keeps what still binds this process from its ended incarnations.
 
-A process gets a new incarnation id when it loses its lease. It keeps the
-promises that it gave as a witness under earlier ids, and it knows when the
-requests that earlier ids sent to the target have ended.
+A process gets a new incarnation id when it loses its lease. It stays
+bound by the grants and seals that it gave as a witness under earlier ids, and
+it knows when the requests that earlier ids sent to the target have ended.
 """
 
 from tamarackgap.ownership import effects, witnesshandler
--- a/tamarackgap/ownership/lease.py
+++ b/tamarackgap/ownership/lease.py
@@ -15,7 +15,8 @@
 
     A grant is valid for the lease length from the time at which the owner
     *sent* the renewal, on the owner's clock. The witness counts from its
-    later receipt, so the owner's grant never outlasts the witness's promise.
+    later receipt, so a grant never ends later for the owner than for its
+    witness.
     """
 
     def __init__(
@@ -115,7 +116,7 @@
     def has_recent_majority(
         self, now: types.Seconds, within: types.Seconds
     ) -> bool:
-        """Returns whether a majority has answered lately.
+        """Returns whether a majority has answered recently.
 
         Args:
             now: Current time, seconds.
--- a/tamarackgap/ownership/liveness.py
+++ b/tamarackgap/ownership/liveness.py
@@ -14,7 +14,7 @@
 
     def __init__(self) -> None:
         """Creates a tracker that knows of no unreachable owner."""
-        self._missed_since: dict[str, float] = {}
+        self._unreachable_since: dict[str, float] = {}
         # Revision of each challenge's row, and when it was first seen.
         self._challenges: dict[str, tuple[int, float]] = {}
 
@@ -25,26 +25,30 @@
         is_reachable: Callable[[str], bool],
         now: float,
     ) -> dict[str, float]:
-        """Returns how long each unreachable owner has been missed, seconds.
+        """Returns how long each owner has been unreachable, seconds.
 
         Args:
             view: This daemon's copy of the table.
             own: This daemon's incarnation, which is left out.
-            is_reachable: Tells whether an incarnation has been heard from
-                lately.
+            is_reachable: Returns whether an incarnation has sent a message
+                recently.
             now: Monotonic time, seconds.
 
         Returns:
             Seconds by incarnation; negative in the pause after a challenge.
         """
-        self._missed_since = {
-            record.incarnation: self._missed_since.get(record.incarnation, now)
+        self._unreachable_since = {
+            record.incarnation: self._unreachable_since.get(
+                record.incarnation, now
+            )
             for record in view.leases()
             if record.is_open
             and record.incarnation != own
             and not is_reachable(record.incarnation)
         }
-        return {name: now - since for name, since in self._missed_since.items()}
+        return {
+            name: now - since for name, since in self._unreachable_since.items()
+        }
 
     def challenge_durations(
         self, view: records.TableView, now: float
@@ -67,6 +71,6 @@
         for name in self._challenges.keys() - current.keys():
             # The owner has answered, or its record was closed: it must not
             # be challenged again at once.
-            self._missed_since[name] = now + _CHALLENGE_PAUSE_S
+            self._unreachable_since[name] = now + _CHALLENGE_PAUSE_S
         self._challenges = current
         return {name: now - since for name, (_, since) in current.items()}
--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -83,7 +83,7 @@
         self.keyed = True
         # Whether the target has so little load that its slots need not move.
         self.has_low_load = False
-        # Tells whether an incarnation has been heard from lately. A witness
+        # Returns whether an incarnation has sent a message recently. A witness
         # that can't be reached would never grant the epoch that names it.
         self.is_reachable: Callable[[str], bool] = lambda name: True
         # Increases with each change of the owned slots.
@@ -493,7 +493,7 @@
             self._lose_lease("sealed-by-majority", now)
 
     def _check_lapse(self, now: float) -> None:
-        """Starts a new incarnation if the lease has expired for good.
+        """Starts a new incarnation if the expired lease is not renewed.
 
         If most witnesses are gone, no successor can end the epoch either. A
         new incarnation at the same address can close the old record instead.
--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -265,10 +265,10 @@
         return None
     view = inputs.view
     for record in view.leases():
-        silent = inputs.unreachable_for.get(record.incarnation, 0.0)
+        unreachable_s = inputs.unreachable_for.get(record.incarnation, 0.0)
         if (
             record.is_open
-            and silent > _CHALLENGE_AFTER_S
+            and unreachable_s > _CHALLENGE_AFTER_S
             and record.incarnation not in view.challenges()
             and _is_responsible(inputs, record.incarnation)
         ):
@@ -322,7 +322,7 @@
 def _create_service(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Allocates the slots of the service, if nobody has done so yet."""
+    """Allocates the slots of the service, if no daemon has done so yet."""
     own_record = inputs.own_record
     settings = inputs.settings
     if (
--- a/tamarackgap/ownership/plannerinputs.py
+++ b/tamarackgap/ownership/plannerinputs.py
@@ -59,16 +59,17 @@
         unrecorded: Fences of owned slots not yet recorded in the table.
         is_pinned: Tells whether a slot must not be moved now.
         rates: Requests per second of each slot served here.
-        loads: Requests per second of each member that has reported lately.
+        loads: Requests per second of each member that has reported recently.
         max_moves: Largest number of slots that may be moved away now.
         age: Time since the incarnation began, seconds.
         now: Monotonic time, seconds.
         keyed: Whether the service's keys have owners.
         has_low_load: Whether the target has so little load that its
             slots need not move.
-        is_reachable: Tells whether an incarnation has been heard from lately.
-        unreachable_for: Time for which each unreachable incarnation has been
-            missed, seconds.
+        is_reachable: Returns whether an incarnation has sent a message
+            recently.
+        unreachable_for: Time for which each incarnation has been unreachable,
+            seconds.
         challenged_for: Time for which this daemon has seen each challenge,
             seconds.
         ended: Earlier incarnations of this process that have ended.
--- a/tamarackgap/ownership/witness.py
+++ b/tamarackgap/ownership/witness.py
@@ -1,8 +1,8 @@
-"""What a daemon promises as a witness of other daemons' leases.
+"""The state that a daemon keeps as a witness of other daemons' leases.
 
 All state is volatile. A process that restarts gets a new incarnation id,
-which no lease record names as a witness, so nobody can rely on a promise
-that the restart has lost.
+which no lease record names as a witness, so no daemon relies on a grant or
+seal that the restart has lost.
 """
 
 import math
--- a/tamarackgap/peers/messages.py
+++ b/tamarackgap/peers/messages.py
@@ -20,7 +20,7 @@
         sent: Time of sending, seconds on the owner's clock.
         revision: Newest revision of the table that the owner knows of.
         probe: Whether the owner only asks for a reply and not for a grant,
-            because most of its witnesses have not replied lately.
+            because most of its witnesses have not replied recently.
     """
 
     witness: str
@@ -125,7 +125,7 @@
     """Tells a witness that the owner no longer serves under its epoch.
 
     Attributes:
-        witness: Incarnation that is told.
+        witness: Incarnation of the witness.
         epoch: Epoch that the owner has given up.
     """
 
--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -402,8 +402,8 @@
     """Returns whether the gain of a move justifies it.
 
     The larger excess of the two members must become clearly smaller, and the
-    cost moved must not be negligible: otherwise all idle slots beside a hot
-    one would move away for next to nothing.
+    cost moved must not be negligible: otherwise all idle slots of a member
+    with a hot slot would move away for hardly any gain.
 
     Args:
         cost: Cost that is moved.
--- a/tamarackgap/placement/records.py
+++ b/tamarackgap/placement/records.py
@@ -31,8 +31,9 @@
             grants of a majority do.
         runs: Ranges of slots that the incarnation owns.
         lease_ms: Duration of a grant, milliseconds.
-        linger_ms: Longest time that a request may go on after the lease's
-            end at a target that does not check grants, milliseconds.
+        linger_ms: Longest time for which a request may still be executed
+            after the lease's end at a target that does not check grants,
+            milliseconds.
         accepting: Whether the daemon takes more slots.
         leaving: Whether the daemon is about to end; it is then not chosen
             as a witness.
--- a/tamarackgap/platform/store.py
+++ b/tamarackgap/platform/store.py
@@ -293,7 +293,7 @@
         self._skip_next_pause = False
 
     def skip_pause(self) -> None:
-        """Ends the pause after a change; a pause after a failure goes on."""
+        """Ends the pause after a change; a pause after a failure stays."""
         if self._pause_timer is None:
             self._skip_next_pause = True
         elif not self._is_failing:
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -280,7 +280,7 @@
         self, dispatch: calls.Dispatch, now: float
     ) -> types.Reason | None:
         """Returns why a call must not be run now, or None."""
-        # A process that has left its lease goes on under a new incarnation;
+        # A process that has left its lease continues under a new incarnation;
         # calls sent to the earlier one are still for the same target.
         if (
             not self._core.is_own(dispatch.owner)
--- a/tamarackgap/traffic/slotgrants.py
+++ b/tamarackgap/traffic/slotgrants.py
@@ -277,7 +277,8 @@
     ) -> Grant | Release | None:
         """Returns an order with the hold time that is left when it is written.
 
-        A connection may take time to open, and the lease goes on running down.
+        A connection may take time to open, while the lease comes closer to its
+        end.
 
         Returns:
             The order, or None if too little hold time is left.
--- a/tamarackgap/traffic/targets.py
+++ b/tamarackgap/traffic/targets.py
@@ -156,7 +156,7 @@
     ) -> balancer.Candidate:
         """Moves a candidate to the new incarnation of its daemon's process.
 
-        After a process has lost its lease, or while it leaves, it goes on
+        After a process has lost its lease, or while it leaves, it continues
         under another incarnation and still answers the calls that it had.
         """
         logs.event(
--- a/tests/soak/test_checker.py
+++ b/tests/soak/test_checker.py
@@ -10,15 +10,15 @@
 class Server:
     """A server whose holds are set by the test."""
 
-    def __init__(self, name, holding=True):
+    def __init__(self, name, holds_keys=True):
         self.instance = name
         self.service = "money"
         self.is_stopped = False
-        self.holding = holding
+        self.holds_keys = holds_keys
         self.on_run_started = None
 
     def holds(self, shard_key):
-        return self.holding
+        return self.holds_keys
 
 
 @pytest.fixture
--- a/tests/traffic/test_slotgrants.py
+++ b/tests/traffic/test_slotgrants.py
@@ -374,8 +374,8 @@
 
 def test_stop_waits_for_unanswered_grants(subject):
     # A new target process executed a grant that was written for the earlier
-    # one, while the slots were handed over at once as held by nobody. Found in
-    # a soak run with seed 204.
+    # one, while the slots went to their next owner at once as if no target held
+    # them. Found in a soak run with seed 204.
     timers, core, target, grants = subject
     core.own(0, 9, 1)
     grants.renew()
--- a/tests/traffic/test_targets.py
+++ b/tests/traffic/test_targets.py
@@ -52,7 +52,7 @@
     assert after.incarnation == "b"
     assert not after.accepting
     assert not directory.is_reachable("a")
-    # A late status of the earlier incarnation does not restore it for good.
+    # A late status of the earlier incarnation does not restore it permanently.
     directory.update_status("a", "x:1", status())
     assert directory.update_status("b", "x:1", status()) in ([], ["a"])
     assert directory.address("b") == "x:1"
