--- a/tamarackgap/exceptions.py
+++ b/tamarackgap/exceptions.py
@@ -2,7 +2,7 @@
 
 
 class TamarackgapError(Exception):
-    """Base class of all errors that this package raises."""
+    """Base class of this package's own errors."""
 
 
 class TableError(TamarackgapError):
--- a/tamarackgap/logs.py
+++ b/tamarackgap/logs.py
@@ -15,8 +15,8 @@
     {"timestamp", "task_uuid", "task_level", "message_type", "action_type"}
 )
 STANDARD_OUTPUT = "stdout"
-_SUCCESS_LINES_PER_S = 40
-_FAILURE_LINES_PER_S = 200
+_MAX_SUCCESSES_PER_S = 40
+_MAX_FAILURES_PER_S = 200
 
 
 def _format_value(value: object) -> str:
@@ -99,7 +99,7 @@
 
 
 class RateLimiter:
-    """Limits the lines written in a second, and counts the others."""
+    """Limits the log lines per second, and counts those left out."""
 
     def __init__(self, lines_per_s: int) -> None:
         """Creates a limiter.
@@ -135,8 +135,8 @@
         return True
 
 
-_success_limiter = RateLimiter(_SUCCESS_LINES_PER_S)
-_failure_limiter = RateLimiter(_FAILURE_LINES_PER_S)
+_success_limiter = RateLimiter(_MAX_SUCCESSES_PER_S)
+_failure_limiter = RateLimiter(_MAX_FAILURES_PER_S)
 
 
 def request_event(name: str, failed: bool, **fields: object) -> None:
--- a/tamarackgap/metrics.py
+++ b/tamarackgap/metrics.py
@@ -101,6 +101,10 @@
     def set_gauge(self, name: str, value: float) -> None:
         """Sets a gauge.
 
+        Args:
+            name: Name of the gauge without the prefix `tamarackgap_`.
+            value: Its new value.
+
         Raises:
             KeyError: If there is no gauge of that name.
         """
--- a/tamarackgap/ownership/changes.py
+++ b/tamarackgap/ownership/changes.py
@@ -12,9 +12,9 @@
 class ChangeKind(enum.Enum):
     """What a transaction is for."""
 
-    # Creates the own record.
+    # Creates this daemon's record.
     JOIN = "join"
-    # Updates the flags of the own record.
+    # Updates the flags of this daemon's record.
     UPDATE_FLAGS = "flag"
     # Closes the records of incarnations that are known to be gone.
     CLOSE_GONE = "vouch"
@@ -24,11 +24,11 @@
     CLAIM = "claim"
     # Begins a new epoch, and may move slots.
     RECONFIGURE = "reconfigure"
-    # Deletes the own record.
+    # Deletes this daemon's record.
     LEAVE = "leave"
     # Asks an unreachable owner to show that it is running.
     CHALLENGE = "challenge"
-    # Deletes the challenge to the own incarnation.
+    # Deletes the challenge to this daemon's incarnation.
     ANSWER_CHALLENGE = "answer"
     # Ends a challenge, and closes the record if it was not answered in time.
     CLOSE_UNANSWERED = "condemn"
@@ -164,8 +164,8 @@
         assignments: The slots that it owns.
         members: Open records among which successors are chosen.
     """
-    placed = placement.choose_successors(record, assignments, members)
-    return msgspec.structs.replace(record, runs=slots.compress(placed))
+    with_successors = placement.choose_successors(record, assignments, members)
+    return msgspec.structs.replace(record, runs=slots.compress(with_successors))
 
 
 def create_service(
@@ -238,24 +238,24 @@
     assignments = slots.expand(own_record.runs)
     sources = []
     for slot_claim in claims:
-        left = slots.expand(slot_claim.record.runs)
+        remaining = slots.expand(slot_claim.record.runs)
         for slot, fence in slot_claim.fences.items():
-            left.pop(types.Slot(slot), None)
+            remaining.pop(types.Slot(slot), None)
             assignments[types.Slot(slot)] = slots.SlotAssignment(fence)
-        builder.close(slot_claim.record, left)
+        builder.close(slot_claim.record, remaining)
         sources.append(slot_claim.record.incarnation)
-    kept = slots.expand(own_record.runs)
-    placed = placement.choose_successors(
+    owned_before = slots.expand(own_record.runs)
+    with_successors = placement.choose_successors(
         own_record,
         {
             slot: assignment
             for slot, assignment in assignments.items()
-            if slot not in kept
+            if slot not in owned_before
         },
         view.members(own_record.service),
     )
     # Successors of the slots owned before must not change within an epoch.
-    ranges = slots.compress({**kept, **placed})
+    ranges = slots.compress({**owned_before, **with_successors})
     builder.put(msgspec.structs.replace(own_record, runs=ranges))
     return builder.build(ChangeKind.CLAIM, "lease-over:" + ",".join(sources))
 
@@ -299,7 +299,9 @@
         record = view.lease(destination)
         if record is None:
             continue
-        placed = placement.choose_successors(record, moved, members)
-        ranges = slots.compress({**slots.expand(record.runs), **placed})
+        with_successors = placement.choose_successors(record, moved, members)
+        ranges = slots.compress(
+            {**slots.expand(record.runs), **with_successors}
+        )
         builder.put(msgspec.structs.replace(record, runs=ranges))
     return builder.build(ChangeKind.RECONFIGURE, reason)
--- a/tamarackgap/ownership/effects.py
+++ b/tamarackgap/ownership/effects.py
@@ -33,8 +33,9 @@
         load_half_life: Half-life of the measured loads of slots, seconds.
         load_warmup: Time after a change of slots for which their load is
             not yet measured well enough, seconds.
-        min_tolerance: Lower bound, percent, on the policy's tolerance: the
-            load above its share at which a daemon moves slots away.
+        min_tolerance: Lower bound on the policy's tolerance, percent. The
+            tolerance is the load above its share at which a daemon moves
+            slots away.
         anchor: Longest time for which an owner serves without a table read,
             seconds; 0 for no limit. Without a limit, an operator has to
             report a daemon as lost if its witnesses are lost with it.
@@ -60,7 +61,7 @@
 
 
 def challenge_timeout(settings: Settings) -> float:
-    """Returns how long a challenge must stay unanswered, seconds.
+    """Returns the time limit for answering a challenge, seconds.
 
     By then the challenged owner has not read the table for the anchor time
     on its own clock, and the last request that it sent to its target has
@@ -101,7 +102,10 @@
 
 
 class Commit(msgspec.Struct, frozen=True):
-    """Effect: commit a transaction, then call `handle_commit_result`."""
+    """Effect: commit a transaction, then report its result.
+
+    The result goes to `Ownership.handle_commit_result`.
+    """
 
     change: changes.Change
 
--- a/tamarackgap/ownership/endedincarnations.py
+++ b/tamarackgap/ownership/endedincarnations.py
@@ -1,4 +1,4 @@
-"""What ended incarnations of this process still bind it to.
+"""Keeps the witness state and lease ends of this process's ended incarnations.
 
 A process gets a new incarnation id when it loses its lease. It keeps the
 promises that it gave as a witness under earlier ids, and it knows when the
@@ -12,10 +12,10 @@
 
 
 class EndedIncarnations:
-    """The ended incarnations of this process."""
+    """Holds the witness state and lease end of each ended incarnation."""
 
     def __init__(self) -> None:
-        """Creates the state of a process whose first incarnation runs."""
+        """Creates the state of a process whose first incarnation is running."""
         self._witnesses: dict[str, witnesshandler.WitnessHandler] = {}
         self._ends: dict[str, float] = {}
 
--- a/tamarackgap/ownership/epochchange.py
+++ b/tamarackgap/ownership/epochchange.py
@@ -1,4 +1,4 @@
-"""Leads an owner to its next epoch.
+"""Carries out an owner's change to its next epoch.
 
 The steps are: collect retirements and new grants, let the target release the
 slots that move, and write the epoch to the table.
@@ -26,7 +26,7 @@
         outbox: effects.Outbox,
         ordered_keys: bool,
     ) -> None:
-        """Creates an owner that wants no other epoch.
+        """Creates the state of an owner without a change under way.
 
         Args:
             renewer: Renews the incarnation's lease.
@@ -46,7 +46,7 @@
 
     @property
     def is_under_way(self) -> bool:
-        """Whether another epoch is wanted."""
+        """Whether a change to the next epoch is under way."""
         return self._intent is not None
 
     @property
@@ -67,29 +67,30 @@
 
     def advance(
         self,
-        inputs: Callable[[float], plannerinputs.PlannerInputs],
-        change_id: Callable[[], str],
+        get_inputs: Callable[[float], plannerinputs.PlannerInputs],
+        new_change_id: Callable[[], str],
         now: float,
     ) -> planner.EpochWrite | None:
         """Continues the change, or cancels it if a step takes too long.
 
         Args:
-            inputs: Returns the planner's inputs at a time.
-            change_id: Returns a fresh id for the write.
+            get_inputs: Returns the planner's inputs at a time.
+            new_change_id: Returns a fresh id for the write.
             now: Monotonic time, seconds.
 
         Returns:
-            The write that begins the epoch once all is ready, else None.
+            The write that begins the epoch, or None until the witnesses and
+            the target are ready.
         """
-        is_waiting = self._release is not None and (
+        awaits_release = self._release is not None and (
             self._release.handovers is None
         )
-        if is_waiting or not self._renewer.own_lease.is_prepared(now):
+        if awaits_release or not self._renewer.own_lease.is_prepared(now):
             if now >= self._cancel_at:
                 self.cancel()
             return None
         write = planner.plan_epoch_write(
-            self._intent, inputs(now), change_id(), self._release
+            self._intent, get_inputs(now), new_change_id(), self._release
         )
         if write is None:
             self.cancel()
--- a/tamarackgap/ownership/lease.py
+++ b/tamarackgap/ownership/lease.py
@@ -142,9 +142,9 @@
     """An owner's lease: its current epoch, and the next one in preparation.
 
     While it is unknown whether the write that begins the next epoch has been
-    committed, the lease is valid only as long as the grants of both epochs.
-    It has then ended for a successor too, whichever epoch that successor
-    reads from the table.
+    committed, the lease is valid only while the grants of both epochs are. So
+    it never outlasts the lease that a successor computes, whichever epoch that
+    successor reads from the table.
     """
 
     def __init__(self, grants: EpochGrants) -> None:
--- a/tamarackgap/ownership/liveness.py
+++ b/tamarackgap/ownership/liveness.py
@@ -14,22 +14,22 @@
 
     def __init__(self) -> None:
         """Creates a tracker that knows of no unreachable owner."""
-        self._missed_since: dict[str, float] = {}
+        self._unreachable_since: dict[str, float] = {}
         # Revision of each challenge's row, and when it was first seen.
         self._challenges: dict[str, tuple[int, float]] = {}
 
     def unreachable_durations(
         self,
         view: records.TableView,
-        own: str,
+        own_incarnation: str,
         is_reachable: Callable[[str], bool],
         now: float,
     ) -> dict[str, float]:
-        """Returns how long each unreachable owner has been missed, seconds.
+        """Returns how long owners have been unreachable, seconds.
 
         Args:
             view: This daemon's copy of the table.
-            own: This daemon's incarnation, which is left out.
+            own_incarnation: This daemon's incarnation, which is left out.
             is_reachable: Tells whether an incarnation has been heard from
                 lately.
             now: Monotonic time, seconds.
@@ -37,14 +37,18 @@
         Returns:
             Seconds by incarnation; negative in the pause after a challenge.
         """
-        self._missed_since = {
-            record.incarnation: self._missed_since.get(record.incarnation, now)
+        self._unreachable_since = {
+            record.incarnation: self._unreachable_since.get(
+                record.incarnation, now
+            )
             for record in view.leases()
             if record.is_open
-            and record.incarnation != own
+            and record.incarnation != own_incarnation
             and not is_reachable(record.incarnation)
         }
-        return {name: now - since for name, since in self._missed_since.items()}
+        return {
+            name: now - since for name, since in self._unreachable_since.items()
+        }
 
     def challenge_durations(
         self, view: records.TableView, now: float
@@ -67,6 +71,6 @@
         for name in self._challenges.keys() - current.keys():
             # The owner has answered, or its record was closed: it must not
             # be challenged again at once.
-            self._missed_since[name] = now + _CHALLENGE_PAUSE_S
+            self._unreachable_since[name] = now + _CHALLENGE_PAUSE_S
         self._challenges = current
         return {name: now - since for name, (_, since) in current.items()}
--- a/tamarackgap/ownership/loads.py
+++ b/tamarackgap/ownership/loads.py
@@ -9,12 +9,12 @@
 # Each load is reported to a sample of the members, so that the number of
 # messages grows with the number of members and not with its square.
 _FANOUT = 8
-# A load below this is too small to be mismeasured, so it is reported even in
-# the warm-up. Requests per second.
+# A load below this is reported even in the warm-up, because its measuring
+# error is small too.
 _IDLE_RATE_PER_S = 5.0
 # A report that is older than this is ignored.
 _MAX_AGE_S = 6.0
-_MINUTE_S = 60.0
+_SECONDS_PER_MINUTE = 60.0
 
 
 class Loads:
@@ -80,7 +80,11 @@
         self._tokens = max(0.0, self._tokens - count)
 
     def _refill(self, now: float) -> None:
-        gained = (now - self._refilled_at) * self._slots_per_minute / _MINUTE_S
+        gained = (
+            (now - self._refilled_at)
+            * self._slots_per_minute
+            / _SECONDS_PER_MINUTE
+        )
         self._tokens = min(float(self._slots_per_minute), self._tokens + gained)
         self._refilled_at = now
 
@@ -96,7 +100,7 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        """Creates a daemon that has served no requests.
+        """Creates an exchange that knows of no loads.
 
         Args:
             settings: The daemon's settings.
@@ -117,7 +121,7 @@
     def report(
         self, rates: dict[int, float], now: float, changed_at: float
     ) -> None:
-        """Records the load of the own slots, and reports it to a sample.
+        """Records this daemon's load, and reports it to a sample of members.
 
         Args:
             rates: Requests per second of each slot.
--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -59,7 +59,7 @@
         is_pinned: Callable[[int], bool],
         now: float,
     ) -> None:
-        """Creates a daemon that has no record in the table yet.
+        """Creates the state of a daemon without a record in the table.
 
         Args:
             settings: The daemon's settings.
@@ -143,7 +143,8 @@
             self._settings, self._view, self._outbox, self._rng, now
         )
         self._plan_at = now
-        # The planner's inputs at its last run, if there was nothing to do.
+        # Signature of the planner's inputs at its last run, if it decided on
+        # nothing.
         self._idle_signature: plannerinputs.InputsSignature | None = None
         self._idle_until = now
 
@@ -261,8 +262,8 @@
     def linger(self) -> float:
         """How long a request may execute after the lease's end, seconds.
 
-        The value in the own record counts, because successors wait for it,
-        even if the target has changed since.
+        The value in this daemon's record counts, because successors wait for
+        it, even if the target has changed since.
         """
         record = self._view.lease(self._incarnation)
         return record.linger_ms / 1000 if record is not None else 0.0
@@ -281,7 +282,7 @@
         self._checks_grants = checks_grants
 
     def report_load(self, rates: dict[int, float], now: float) -> None:
-        """Records the load of the own slots, and reports it to members.
+        """Records this daemon's load, and reports it to members.
 
         Args:
             rates: Requests per second of each slot.
@@ -296,9 +297,9 @@
     def release_lease(self, now: float) -> None:
         """Gives up the lease at once, and starts a new incarnation.
 
-        For use while the table does not answer: successors then need neither
-        the table nor wait for the lease to expire. No request may be in
-        progress.
+        Used while the table does not answer: successors then take over without
+        the table, and without waiting for the lease to expire. No request
+        may be in progress.
         """
         for name in self._renewer.own_lease.current.witnesses:
             self._outbox.send(name, messages.Release(name, self.epoch))
@@ -319,12 +320,12 @@
             if record is None:
                 continue
             self._slot_owners.update_from_record(record)
-            if self._is_claim_unclear(record):
+            if self._needs_read_before_claim(record):
                 self._outbox.put(effects.ReadTable(urgent=True))
         if records.lease_key(self._incarnation) in changed:
             self._apply_own_record(now)
 
-    def _is_claim_unclear(self, record: records.LeaseRecord) -> bool:
+    def _needs_read_before_claim(self, record: records.LeaseRecord) -> bool:
         """Returns whether a table read has to show who may claim slots.
 
         The closed record is newer than the last table read, so its
@@ -464,13 +465,13 @@
         return self._ended.find_witness(name)
 
     def tick(self, now: float) -> None:
-        """Performs all due work; to be called several times per renewal."""
+        """Performs all due work; called several times per renewal interval."""
         self._renewer.renew(now)
         for record in self._report_silent_owners(now):
             self._suspect(record.incarnation, record.epoch, now)
         self._check_lapse(now)
         self._advance_takeovers(now)
-        self._retry(now)
+        self._repeat_unconfirmed(now)
         self._plan(now)
 
     def _report_silent_owners(self, now: float) -> list[records.LeaseRecord]:
@@ -493,7 +494,7 @@
             self._lose_lease("sealed-by-majority", now)
 
     def _check_lapse(self, now: float) -> None:
-        """Starts a new incarnation if the lease has expired for good.
+        """Starts a new incarnation if the lease has been expired for too long.
 
         If most witnesses are gone, no successor can end the epoch either. A
         new incarnation at the same address can close the old record instead.
@@ -515,7 +516,7 @@
         self._start_incarnation(now)
 
     def _apply_own_record(self, now: float) -> None:
-        """Updates epoch and owned slots from the own record in the table."""
+        """Updates epoch and owned slots from this daemon's record."""
         record = self._view.lease(self._incarnation)
         if record is None or not record.is_open:
             left = self._draining and not self.owned
@@ -572,7 +573,7 @@
 
     # Changes of the table.
 
-    def _retry(self, now: float) -> None:
+    def _repeat_unconfirmed(self, now: float) -> None:
         if self._pending is not None and now >= self._commit_retry_at:
             self._commit(self._pending, now)
         self._succession.repeat_claims(now)
@@ -603,13 +604,13 @@
         signature = inputs.signature()
         if signature == self._idle_signature and now < self._idle_until:
             return
-        decided = planner.decide(inputs, self._change_id())
-        self._idle_signature = signature if decided is None else None
+        decision = planner.decide(inputs, self._change_id())
+        self._idle_signature = signature if decision is None else None
         self._idle_until = now + planner.IDLE_PLAN_INTERVAL_S
-        if isinstance(decided, changes.Change):
-            self._commit(decided, now)
-        elif decided is not None:
-            self._epoch_change.begin(decided, now)
+        if isinstance(decision, changes.Change):
+            self._commit(decision, now)
+        elif decision is not None:
+            self._epoch_change.begin(decision, now)
 
     def _planner_inputs(self, now: float) -> plannerinputs.PlannerInputs:
         return plannerinputs.PlannerInputs(
@@ -662,8 +663,6 @@
         """
         self._epoch_change.slots_released(handovers)
 
-    # Helpers.
-
     def _check_revision(self, revision: int) -> None:
         if revision > self._view.cursor:
             self._outbox.put(effects.ReadTable())
--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -18,7 +18,7 @@
 
 
 class EpochIntent(msgspec.Struct, frozen=True):
-    """A new epoch that is wanted.
+    """The next epoch that an owner intends to begin.
 
     Attributes:
         witnesses: The new epoch's witnesses.
@@ -84,9 +84,9 @@
         _challenge,
         _intend_epoch,
     ):
-        decided = step(inputs, change_id)
-        if decided is not None:
-            return decided
+        decision = step(inputs, change_id)
+        if decision is not None:
+            return decision
     return None
 
 
@@ -133,7 +133,10 @@
 def _claim(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Takes over slots of ended epochs, and closes their records."""
+    """Returns the change that claims slots of ended epochs, or None.
+
+    It also closes the records of these epochs.
+    """
     own_record = inputs.own_record
     if own_record is None or not inputs.lease_valid:
         return None
@@ -213,7 +216,9 @@
 def _close_earlier(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Closes records of earlier incarnations at this daemon's own address.
+    """Returns the change that closes earlier incarnations' records, or None.
+
+    These are the records with this daemon's own address.
 
     Only one process can be bound to an address, so the earlier one is gone.
     Its lease and the last request that it sent to the target have ended
@@ -243,7 +248,10 @@
 def _answer_challenge(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Deletes a challenge to this incarnation: it is running."""
+    """Returns the change that answers a challenge to this daemon, or None.
+
+    Deleting the challenge shows that the incarnation is running.
+    """
     if inputs.incarnation not in inputs.view.challenges():
         return None
     builder = changes.Builder(inputs.view, change_id)
@@ -254,7 +262,7 @@
 def _challenge(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Challenges an owner that this daemon can't reach.
+    """Returns the change that challenges an unreachable owner, or None.
 
     If most of its witnesses were running, they would have let a successor
     end its epoch by now.
@@ -279,9 +287,10 @@
 def _close_unanswered(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Ends a challenge that was not answered in time, and closes the record.
+    """Returns the change that ends a challenge not answered in time, or None.
 
-    Also deletes a challenge whose record is closed or deleted already.
+    It also closes the record. A challenge whose record is closed or deleted
+    already is ended as well.
     """
     view = inputs.view
     limit = effects.challenge_timeout(inputs.settings)
@@ -320,7 +329,7 @@
 def _create_service(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Allocates the slots of the service, if nobody has done so yet."""
+    """Returns the change that creates a service without a record, or None."""
     own_record = inputs.own_record
     settings = inputs.settings
     if (
@@ -364,7 +373,10 @@
 def _leave(
     inputs: plannerinputs.PlannerInputs, change_id: str
 ) -> changes.Change | None:
-    """Deletes the record of a draining daemon that is not needed any more."""
+    """Returns the change that deletes a drained daemon's record, or None.
+
+    It is due once no record names the daemon as a witness.
+    """
     own_record = inputs.own_record
     if (
         own_record is None
@@ -479,8 +491,14 @@
     own_record = inputs.own_record
     policy = view.policy(service, own_record.data_centre)
     members = placement_members(view, service, inputs.loads)
-    has_empty = any(member.weight and not member.owned for member in members)
-    if inputs.has_low_load and inputs.accepting and not has_empty:
+    has_member_without_slots = any(
+        member.weight and not member.owned for member in members
+    )
+    if (
+        inputs.has_low_load
+        and inputs.accepting
+        and not has_member_without_slots
+    ):
         return ()
     planned = placement.plan_moves(
         service_record.slots,
--- a/tamarackgap/ownership/plannerinputs.py
+++ b/tamarackgap/ownership/plannerinputs.py
@@ -9,7 +9,7 @@
 from tamarackgap.placement import records
 
 # A witness is replaced if it has not answered for this many lease lengths.
-_SILENT_LEASES = 2.0
+_SILENT_AFTER_LEASES = 2.0
 
 
 class InputsSignature(msgspec.Struct, frozen=True):
@@ -99,7 +99,7 @@
     over: frozenset[str] = frozenset()
 
     def signature(self) -> InputsSignature:
-        """Returns what has to change before the planner has to run again."""
+        """Returns the inputs whose change makes the planner run again."""
         done = sum(attempt.has_ended for attempt in self.takeovers)
         return InputsSignature(
             self.view.version,
@@ -134,5 +134,5 @@
     grants = inputs.grants
     return grants.refusing_witnesses() | grants.silent_witnesses(
         types.Seconds(inputs.now),
-        types.Seconds(inputs.settings.lease * _SILENT_LEASES),
+        types.Seconds(inputs.settings.lease * _SILENT_AFTER_LEASES),
     )
--- a/tamarackgap/ownership/renewal.py
+++ b/tamarackgap/ownership/renewal.py
@@ -9,7 +9,7 @@
 # If no majority has answered for this many renewal intervals, the owner only
 # sends probes.
 _MAX_SILENT_INTERVALS = 1.9
-_ENDED_STATES = (types.WitnessState.SEALED, types.WitnessState.CLOSED)
+_STOPPED_STATES = (types.WitnessState.SEALED, types.WitnessState.CLOSED)
 
 
 class LeaseRenewer:
@@ -34,7 +34,7 @@
         self._interval = length / _RENEWALS_PER_LEASE
         self._view = view
         self._outbox = outbox
-        self._due = now
+        self._renew_at = now
         self._lease = lease.Lease(self._new_grants(0, (), now))
         # Largest delay of a renewal so far, seconds.
         self.lateness = 0.0
@@ -60,11 +60,11 @@
 
     def renew(self, now: float) -> None:
         """Sends renewals of all epochs, if they are due."""
-        if now < self._due:
+        if now < self._renew_at:
             return
         if self._lease.current.epoch:
-            self.lateness = max(self.lateness, now - self._due)
-        self._due = now + self._interval
+            self.lateness = max(self.lateness, now - self._renew_at)
+        self._renew_at = now + self._interval
         for grants in self._lease.epochs():
             self._send_renewals(grants, now)
 
@@ -82,7 +82,7 @@
             )
             if was_unreachable and self._is_majority_reachable(grants, now):
                 # A majority answers the probes again, so renew at once.
-                self._due = now
+                self._renew_at = now
 
     def handle_retire_reply(
         self, sender: str, message: messages.RetireReply, now: float
@@ -93,8 +93,8 @@
                 grants.record_answer(sender, message.state, types.Seconds(now))
 
     def is_ended(self) -> bool:
-        """Returns whether a majority will never renew the current epoch."""
-        return self._lease.current.has_majority(*_ENDED_STATES)
+        """Returns whether a majority has stopped renewing the current epoch."""
+        return self._lease.current.has_majority(*_STOPPED_STATES)
 
     def _new_grants(
         self, epoch: int, witnesses: tuple[str, ...], now: float
@@ -107,8 +107,9 @@
         )
 
     def _send_renewals(self, grants: lease.EpochGrants, now: float) -> None:
-        # A grant whose answer does not reach the owner only makes its
-        # successor wait longer, so the owner then asks for answers alone.
+        # If the answers don't reach the owner, grants are of no use to it and
+        # only make its successor wait longer. It then sends probes, which
+        # grant nothing.
         probe = not self._is_majority_reachable(grants, now)
         revision = self._view.cursor
         for name in grants.witnesses:
--- a/tamarackgap/ownership/takeover.py
+++ b/tamarackgap/ownership/takeover.py
@@ -29,7 +29,15 @@
 
 
 class Takeover:
-    """One attempt to end an owner's epoch."""
+    """One attempt to end an owner's epoch.
+
+    Attributes:
+        begun_at: When the attempt began, seconds.
+        asked_at: When seals were last requested, seconds.
+        suspected_at: When a witness last suspected the owner, seconds.
+        has_ended: Whether the epoch is known to have ended, so that its slots
+            may be claimed.
+    """
 
     def __init__(
         self,
@@ -55,8 +63,6 @@
         self.begun_at = now
         self.asked_at = float("-inf")
         self.suspected_at = now
-        # Whether the epoch is known to have ended, so that its slots may be
-        # claimed.
         self.has_ended = False
 
     @property
@@ -84,6 +90,7 @@
             self._superseded = True
         if answer.state not in _STOPPED_STATES:
             return
+        # A negative age means that there is no grant to wait for.
         wait = self._length if answer.age >= 0 else 0.0
         expiry = now + max(0.0, wait - max(0.0, answer.age))
         known = self._expiries.get(witness, expiry)
--- a/tamarackgap/ownership/witness.py
+++ b/tamarackgap/ownership/witness.py
@@ -1,4 +1,4 @@
-"""What a daemon promises as a witness of other daemons' leases.
+"""Keeps what a daemon has promised as a witness of other daemons' leases.
 
 All state is volatile. A process that restarts gets a new incarnation id,
 which no lease record names as a witness, so nobody can rely on a promise
@@ -154,7 +154,7 @@
             entry.released = True
 
     def suspicions(self, now: types.Seconds) -> list[Suspicion]:
-        """Returns the epochs whose last grant is old or was given up.
+        """Returns epochs whose last grant is old or whose owner gave them up.
 
         Both latest epochs of an owner are listed. Only the table tells which
         of them is in use: the later one may have been prepared and never
--- a/tamarackgap/ownership/witnesshandler.py
+++ b/tamarackgap/ownership/witnesshandler.py
@@ -1,4 +1,4 @@
-"""Answers a witness's messages, and reports owners that stop renewing."""
+"""Answers messages to a witness, and reports owners that stop renewing."""
 
 import math
 
@@ -86,10 +86,12 @@
             it is a successor, or one of the successors is gone, or there is
             none.
         """
-        own_task = []
+        records_to_end = []
         for suspicion in self._witness.suspicions(types.Seconds(now)):
             record = self._view.lease(suspicion.owner)
             if record is None or not record.is_open:
+                # The record of an owner that has just joined may not have been
+                # read yet.
                 if self._view.revision(records.lease_key(suspicion.owner)):
                     self._witness.forget_suspicion(suspicion)
                 continue
@@ -101,8 +103,8 @@
                 continue
             self._notified_at[suspicion.owner] = now
             if self._notify_successors(record, suspicion):
-                own_task.append(record)
-        return own_task
+                records_to_end.append(record)
+        return records_to_end
 
     def _notify_successors(
         self, record: records.LeaseRecord, suspicion: witness.Suspicion
--- a/tamarackgap/peers/calls.py
+++ b/tamarackgap/peers/calls.py
@@ -100,9 +100,10 @@
     """Reports a crash of a target and the requests that it was executing.
 
     Attributes:
-        fingerprints: Start and end of each request's execution, by its
-            fingerprint, seconds before the message was sent. The ends
-            differ, since executions end one by one.
+        fingerprints: Start and end of each request's execution, seconds
+            before the message was sent, by the request's fingerprint: a hash
+            of what it asks for. The ends differ, since executions end one
+            by one.
     """
 
     fingerprints: dict[str, tuple[float, float]]
--- a/tamarackgap/peers/messages.py
+++ b/tamarackgap/peers/messages.py
@@ -65,7 +65,7 @@
 
 
 class Seal(msgspec.Struct, tag="seal", array_like=True, frozen=True):
-    """Asks a witness, for a successor, to end its renewals of an epoch.
+    """Asks a witness, for a successor, to stop renewing an epoch.
 
     Attributes:
         witness: Incarnation that is asked.
@@ -86,7 +86,7 @@
         epoch: The epoch.
         state: State of the witness; OPEN and RETIRED mean that it refused.
         age: Time since its last grant, seconds; negative if it never granted
-            one.
+            one, or if the owner has given the epoch up.
     """
 
     owner: str
@@ -230,7 +230,7 @@
     """Reports the requests that a target was executing when it crashed.
 
     Attributes:
-        fingerprints: Fingerprints of the requests.
+        fingerprints: Hash of what each request asks for.
         exclusive: Whether the target was executing a single request, which
             is then the cause of the crash.
     """
--- a/tamarackgap/peers/transport.py
+++ b/tamarackgap/peers/transport.py
@@ -18,9 +18,9 @@
 _HIGH_WATER_MARK_MESSAGES = 1000
 _RECONNECT_MS = 50
 _RECONNECT_MAX_MS = 500
-# Keeps a turn of the loop short when peers send without pause.
-_MAX_MESSAGES_PER_TURN = 200
-_DRAIN_INTERVAL_S = 0.05
+# Keeps an iteration of the loop short when peers send without pause.
+_MAX_MESSAGES_PER_ITERATION = 200
+_POLL_INTERVAL_S = 0.05
 # An int, because flags of an enumeration are slow to combine.
 _READABLE = int(zmq.POLLIN)
 
@@ -85,10 +85,10 @@
             self._inbox.getsockopt(zmq.FD), sockets.READABLE, self._on_readable
         )
         self._has_more = False
-        timers.each_iteration(self._drain_rest)
+        timers.each_iteration(self._receive_remaining)
         # The descriptor is edge-triggered, so a missed edge would leave
         # messages unread.
-        timers.every(_DRAIN_INTERVAL_S, self._drain)
+        timers.every(_POLL_INTERVAL_S, self._receive_frames)
 
     def set_peers(self, addresses: set[str]) -> None:
         """Connects to the given peers and closes all other connections.
@@ -170,14 +170,14 @@
 
     def _on_readable(self, flags: int) -> None:
         del flags
-        self._drain()
+        self._receive_frames()
 
-    def _drain_rest(self) -> None:
+    def _receive_remaining(self) -> None:
         if self._has_more:
-            self._drain()
+            self._receive_frames()
 
-    def _drain(self) -> None:
-        for _ in range(_MAX_MESSAGES_PER_TURN):
+    def _receive_frames(self) -> None:
+        for _ in range(_MAX_MESSAGES_PER_ITERATION):
             # Checking first is cheaper than the exception of an empty queue.
             self._has_more = bool(
                 self._inbox.getsockopt(zmq.EVENTS) & _READABLE
--- a/tamarackgap/placement/loadstats.py
+++ b/tamarackgap/placement/loadstats.py
@@ -6,8 +6,8 @@
 
 HALF_LIFE_S = 10.0
 _SKETCH_CAPACITY_KEYS = 192
-# Shorter ages of a slot count as this one: the first request to a slot that
-# was just assigned would otherwise look like a high rate.
+# A slot that was assigned more recently is treated as this old: its first
+# request would otherwise look like a high rate.
 _MIN_AGE_S = 2.0
 _SKETCH_PERIOD_S = 60.0
 # Slots of lower weight are dropped from the meter.
@@ -90,7 +90,7 @@
 def time_constant_s(half_life: float) -> float:
     """Returns the time constant of an exponential decay, seconds.
 
-    It is also the total weight of one request a second without end.
+    It is also the total weight of an endless stream of one request a second.
 
     Args:
         half_life: Half-life, seconds.
--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -22,7 +22,7 @@
 # of the source's excess before the move.
 _MAX_EXCESS_LEFT = 0.9
 # Costs below this fraction of the source's share are not worth a move.
-_MIN_COST_OF_SHARE = 0.005
+_MIN_COST_FRACTION = 0.005
 # A block may cost up to this multiple of the wanted cost; otherwise it would
 # often be one slot short.
 _BLOCK_COST_FACTOR = 1.1
@@ -99,11 +99,11 @@
     shares = {
         member: divmod(slot_count * member.weight, total) for member in members
     }
-    left = slot_count - sum(whole for whole, _ in shares.values())
+    unassigned = slot_count - sum(whole for whole, _ in shares.values())
     ranked = sorted(
         members, key=lambda member: (-shares[member][1], member.name)
     )
-    extra = {member.incarnation for member in ranked[:left]}
+    extra = {member.incarnation for member in ranked[:unassigned]}
     return {
         member.incarnation: shares[member][0] + (member.incarnation in extra)
         for member in members
@@ -238,8 +238,8 @@
     Returns:
         Error as a fraction of the rate.
     """
-    counted = rate * loadstats.time_constant_s(half_life)
-    return _MIN_DEVIATIONS / max(1.0, counted) ** 0.5
+    request_count = rate * loadstats.time_constant_s(half_life)
+    return _MIN_DEVIATIONS / max(1.0, request_count) ** 0.5
 
 
 def plan_slot_moves(
@@ -315,10 +315,10 @@
     """
     moves: list[Move] = []
     reason = "load" if source.weight else "weight-zero"
-    left = sorted(source.owned)
+    remaining = sorted(source.owned)
     candidates = [m for m in members if m.weight and m is not source]
-    cost_of = {slot: costs.slot(slot, source) for slot in left}
-    while left and candidates:
+    cost_of = {slot: costs.slot(slot, source) for slot in remaining}
+    while remaining and candidates:
         excess = (
             -headroom[source.incarnation] if source.weight else float("inf")
         )
@@ -328,22 +328,22 @@
         free = headroom[destination.incarnation]
         if (
             source.weight
-            and min(excess, free) <= shares[source] * _MIN_COST_OF_SHARE
+            and min(excess, free) <= shares[source] * _MIN_COST_FRACTION
         ):
             break
-        block = _best_block(left, cost_of, min(excess, free))
+        block = _best_block(remaining, cost_of, min(excess, free))
         cost = sum(cost_of[slot] for slot in block)
         if source.weight and (
             not block or not _is_worthwhile(cost, excess, free, shares[source])
         ):
             break
         if not block:
-            block = left[:1]
-            cost = cost_of[left[0]]
+            block = remaining[:1]
+            cost = cost_of[remaining[0]]
         headroom[source.incarnation] += cost
         headroom[destination.incarnation] -= cost
         moved = set(block)
-        left = [slot for slot in left if slot not in moved]
+        remaining = [slot for slot in remaining if slot not in moved]
         moves += [
             Move(slot, source.incarnation, destination.incarnation, reason)
             for slot in block
@@ -354,7 +354,7 @@
 def _best_block(
     owned: Sequence[int], cost_of: dict[int, float], wanted_cost: float
 ) -> list[int]:
-    """Returns the block at an end of a range that costs most within a bound.
+    """Returns the most costly block at an end of a range within a bound.
 
     Args:
         owned: Slots, sorted.
@@ -401,7 +401,7 @@
 
     The larger excess of the two members must become clearly smaller, and the
     cost moved must not be negligible: otherwise all idle slots beside a hot
-    one would move away for next to nothing.
+    one would move away for a negligible gain.
 
     Args:
         cost: Cost that is moved.
@@ -411,7 +411,7 @@
     """
     return (
         cost - free <= excess * _MAX_EXCESS_LEFT
-        and cost >= share * _MIN_COST_OF_SHARE
+        and cost >= share * _MIN_COST_FRACTION
     )
 
 
--- a/tamarackgap/placement/records.py
+++ b/tamarackgap/placement/records.py
@@ -25,14 +25,15 @@
         data_centre: Data centre of the VM.
         peer_address: `ip:port` for messages between daemons.
         http_address: `ip:port` for callers and operators.
-        epoch: Epoch of the lease; it rises when witnesses, successors or
-            slots are removed.
-        witnesses: Incarnations that grant the lease; it holds while the
-            grants of a majority do.
+        epoch: Epoch of the lease; it rises when witnesses or successors
+            change, or slots are moved away.
+        witnesses: Incarnations that grant the lease; it is valid while the
+            grants of a majority are.
         runs: Ranges of slots that the incarnation owns.
         lease_ms: Duration of a grant, milliseconds.
-        linger_ms: Longest time that a request may go on after the lease's
-            end at a target that does not check grants, milliseconds.
+        linger_ms: Longest time that a request may still execute after the
+            lease's end at a target that does not check grants,
+            milliseconds.
         accepting: Whether the daemon takes more slots.
         leaving: Whether the daemon is about to end; it is then not chosen
             as a witness.
--- a/tamarackgap/placement/slots.py
+++ b/tamarackgap/placement/slots.py
@@ -90,15 +90,15 @@
     ranges: list[SlotRange] = []
     for slot in sorted(assignments):
         assignment = assignments[slot]
-        last = ranges[-1] if ranges else None
+        previous = ranges[-1] if ranges else None
         if (
-            last is not None
-            and last.last == slot - 1
-            and last.fence == assignment.fence
-            and last.successor == assignment.successor
-            and last.handover == assignment.handover
+            previous is not None
+            and previous.last == slot - 1
+            and previous.fence == assignment.fence
+            and previous.successor == assignment.successor
+            and previous.handover == assignment.handover
         ):
-            ranges[-1] = msgspec.structs.replace(last, last=slot)
+            ranges[-1] = msgspec.structs.replace(previous, last=slot)
         else:
             ranges.append(
                 SlotRange(
--- a/tamarackgap/types.py
+++ b/tamarackgap/types.py
@@ -6,13 +6,17 @@
 ServiceName = NewType("ServiceName", str)
 DataCentre = NewType("DataCentre", str)
 DaemonName = NewType("DaemonName", str)
-# A fresh random id for each start of a daemon; never used twice.
+# A random id, new at each start of a daemon and after each lost lease.
 Incarnation = NewType("Incarnation", str)
 RequestId = NewType("RequestId", str)
 Key = NewType("Key", str)
 Slot = NewType("Slot", int)
+# Rises each time that a slot changes its owner.
 Fence = NewType("Fence", int)
+# Rises each time that an owner changes witnesses or successors, or gives slots
+# away.
 Epoch = NewType("Epoch", int)
+# Rises with each change of the table.
 Revision = NewType("Revision", int)
 # Seconds on the monotonic clock of one process or VM.
 Seconds = NewType("Seconds", float)
@@ -76,8 +80,8 @@
     SEALED = "sealed"
     # The witness renews, but the epoch now ends only by a write to the table.
     RETIRED = "retired"
-    # The witness was retired and no longer renews; it counts towards the
-    # majority for a takeover through the table.
+    # The epoch was retired, and the witness no longer renews it; it counts
+    # towards the majority for a takeover through the table.
     CLOSED = "closed"
     # The witness has seen a later epoch of this owner.
     SUPERSEDED = "superseded"
--- a/tests/ownership/test_loads.py
+++ b/tests/ownership/test_loads.py
@@ -2,13 +2,13 @@
 
 
 def test_old_loads_are_dropped():
-    known = loads.Loads()
-    known.note("a", 5.0, 0.0)
-    known.note("b", 6.0, 4.0)
-    assert known.fresh(5.0) == {"a": 5.0, "b": 6.0}
-    assert known.fresh(8.0) == {"b": 6.0}
-    known.note("b", None, 8.0)
-    assert known.fresh(8.0) == {}
+    member_loads = loads.Loads()
+    member_loads.note("a", 5.0, 0.0)
+    member_loads.note("b", 6.0, 4.0)
+    assert member_loads.fresh(5.0) == {"a": 5.0, "b": 6.0}
+    assert member_loads.fresh(8.0) == {"b": 6.0}
+    member_loads.note("b", None, 8.0)
+    assert member_loads.fresh(8.0) == {}
 
 
 def test_moves_per_minute_are_limited():
--- a/tests/ownership/test_ownership.py
+++ b/tests/ownership/test_ownership.py
@@ -66,8 +66,8 @@
     cluster.kill("seats-1")
     cluster.run(0.1)
     cluster.run(2, cluster.all_slots_served)
-    for name, held in kept.items():
-        assert held <= set(cluster.daemons[name].core.owned)
+    for name, kept_slots in kept.items():
+        assert kept_slots <= set(cluster.daemons[name].core.owned)
 
 
 @pytest.mark.parametrize("table_up", [True, False])
@@ -205,7 +205,7 @@
     assert cluster.violations == []
 
 
-def test_lost_commit_results_do_no_harm():
+def test_slots_recover_despite_lost_commit_results():
     cluster = settled_cluster()
     cluster.answer_loss_rate = 0.7
     cluster.daemons["seats-0"].core.drain()
@@ -402,7 +402,7 @@
         daemon.core.is_reachable = is_reachable
 
 
-def test_an_owner_lost_with_its_witnesses_is_replaced_unattended():
+def test_an_owner_lost_with_its_witnesses_is_replaced_after_a_challenge():
     cluster = simulation.Simulation(seed=5, anchor=5.0)
     cluster.deploy(7)
     _set_reachability(cluster)
@@ -415,9 +415,9 @@
             cluster.kill(name)
     assert not cluster.all_slots_served()
     limit = effects.challenge_timeout(owner.core.settings)
-    taken = cluster.run(limit + 8, cluster.all_slots_served)
-    assert taken is not None
-    assert taken > 5.0
+    recovery_s = cluster.run(limit + 8, cluster.all_slots_served)
+    assert recovery_s is not None
+    assert recovery_s > 5.0
     assert not cluster.violations
 
 
@@ -479,14 +479,14 @@
     assert cluster.run(20, cluster.is_balanced) is not None
     before = _owners(cluster)
     cluster.table_up = False
-    gone = list(cluster.daemons)[:2]
-    for name in gone:
+    released = list(cluster.daemons)[:2]
+    for name in released:
         daemon = cluster.daemons[name]
         daemon.core.set_target_state(False)
         daemon.core.release_lease(daemon.clock(cluster.now))
     cluster.run(8)
     for slot, owners in before.items():
-        if owners[0] not in gone:
+        if owners[0] not in released:
             assert cluster.serving_daemons(slot) == owners
     assert not cluster.violations
 
@@ -513,15 +513,15 @@
     cluster.deploy(4)
     assert cluster.run(20, cluster.is_balanced) is not None
     daemon = cluster.daemons["seats-0"]
-    stays = sorted(daemon.core.owned)[0]
-    daemon.busy_slots = {stays}
+    pinned_slot = sorted(daemon.core.owned)[0]
+    daemon.busy_slots = {pinned_slot}
     daemon.core.set_target_state(False)
     cluster.run(6)
-    assert sorted(daemon.core.owned) == [stays]
+    assert sorted(daemon.core.owned) == [pinned_slot]
 
 
 @pytest.mark.parametrize("seed", range(11, 17))
-def test_keys_whose_witnesses_were_lost_are_served_soon_after_an_outage(seed):
+def test_slots_of_an_owner_that_lost_witnesses_recover_after_an_outage(seed):
     cluster = simulation.Simulation(seed=seed, anchor=18.0, linger=0.0)
     cluster.deploy(6)
     assert cluster.run(20, cluster.is_balanced) is not None
@@ -546,29 +546,29 @@
         slot
         for daemon in cluster.daemons.values()
         if daemon.alive
-        for slot, held in _holdings(daemon).items()
-        if held.successor in alive
+        for slot, assignment in _own_assignments(daemon).items()
+        if assignment.successor in alive
     }
     cluster.run(4)
     assert not all(cluster.serving_daemons(slot) for slot in expected)
     cluster.table_up = True
     for name in lost:
         cluster.restart(name)
-    again = cluster.run(
+    recovery_s = cluster.run(
         MAX_RECOVERY_S,
         lambda: all(cluster.serving_daemons(slot) for slot in expected),
     )
-    assert again is not None
+    assert recovery_s is not None
     assert not cluster.violations
 
 
-def _holdings(daemon):
+def _own_assignments(daemon):
     record = daemon.core.view.lease(daemon.core.incarnation)
     return slots.expand(record.runs)
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_after_a_restart_of_all_each_key_is_served_within_a_second(seed):
+def test_slots_are_served_within_a_second_after_all_daemons_restart(seed):
     cluster = simulation.Simulation(seed, ordered_keys=True, linger=0.0)
     cluster.deploy(5)
     assert cluster.run(20, cluster.is_balanced) is not None
@@ -578,9 +578,9 @@
     for name in list(cluster.daemons):
         cluster.restart(name)
     _set_reachability(cluster)
-    served = cluster.run(3, cluster.all_slots_served)
-    assert served is not None
-    assert served <= 1.0
+    recovery_s = cluster.run(3, cluster.all_slots_served)
+    assert recovery_s is not None
+    assert recovery_s <= 1.0
     assert not cluster.violations
 
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -79,8 +79,8 @@
     counted = [line for line in lines if "event=counted" in line]
     lost = [line for line in lines if "event=log_lines_lost" in line]
     assert lost
-    left_out = int(lost[-1].rpartition("count=")[2])
-    assert len(counted) + left_out == 20_000
+    lost_count = int(lost[-1].rpartition("count=")[2])
+    assert len(counted) + lost_count == 20_000
     assert "event=last" in lines[-1]
 
 
