--- a/bench/policies.py
+++ b/bench/policies.py
@@ -216,7 +216,7 @@
             total = sum(own.values())
             told = total if settled or total < 5.0 else None
             for known in self._told.values():
-                known.note(name, told, now)
+                known.record(name, told, now)
 
     def _plan(
         self,
--- a/soak/run.py
+++ b/soak/run.py
@@ -89,7 +89,7 @@
         )
 
     def _add_proxy(self, target: str) -> proxy.Proxy:
-        port = ports.free_ports(1, self.cluster.next_port())
+        port = ports.find_free_ports(1, self.cluster.next_port())
         self.cluster.reserve_ports_below(port + 1)
         self._proxy_address = f"127.0.0.1:{port}"
         new_proxy = proxy.Proxy(self._proxy_address, target)
--- a/standins/platformcluster.py
+++ b/standins/platformcluster.py
@@ -105,7 +105,7 @@
         self.name = name
         self.service = service_name
         self.keyed = keyed
-        base = ports.free_ports(PORTS_PER_VM, cluster.next_port())
+        base = ports.find_free_ports(PORTS_PER_VM, cluster.next_port())
         cluster.reserve_ports_below(base + PORTS_PER_VM)
         addresses = [
             f"127.0.0.1:{base + index}" for index in range(PORTS_PER_VM)
@@ -211,7 +211,7 @@
         self.folder = folder
         self._next_port = 25_000
         self.store = rowstore.RowStore()
-        port = ports.free_ports(1, self.next_port())
+        port = ports.find_free_ports(1, self.next_port())
         self.reserve_ports_below(port + 1)
         self.store_address = f"127.0.0.1:{port}"
         self._server = httpd.serve(
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -3,7 +3,7 @@
 import socket
 
 
-def free_ports(count: int, first: int = 24000, last: int = 32000) -> int:
+def find_free_ports(count: int, first: int = 24000, last: int = 32000) -> int:
     """Returns the first port of a range of free ports.
 
     Args:
--- a/tamarackgap/commands/cmdline.py
+++ b/tamarackgap/commands/cmdline.py
@@ -201,7 +201,7 @@
     if not yes:
         _fail("nothing was done", _EXIT_FAILED)
     try:
-        closed = control.close_lost(address, name)
+        closed = control.close_lost_leases(address, name)
     except exceptions.ConflictError as error:
         _fail(str(error), _EXIT_CONFLICT)
     except exceptions.TableError as error:
@@ -353,7 +353,7 @@
         f"accepted as version {state.revision}; in force at"
         f" {state.applied} of {state.daemons} daemons",
     )
-    if not state.everywhere:
+    if not state.is_complete:
         raise SystemExit(_EXIT_NOT_IN_FORCE)
 
 
--- a/tamarackgap/commands/control.py
+++ b/tamarackgap/commands/control.py
@@ -32,7 +32,7 @@
     applied: int
 
     @property
-    def everywhere(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every daemon has read the edit."""
         return self.applied == self.daemons
 
@@ -215,7 +215,7 @@
     while True:
         state = query_propagation(address, revision)
         on_progress(state)
-        if state.everywhere or time.monotonic() >= deadline:
+        if state.is_complete or time.monotonic() >= deadline:
             return state
         time.sleep(_RETRY_INTERVAL_S)
 
@@ -233,7 +233,7 @@
     return msgspec.json.decode(body, type=pages.Status)
 
 
-def close_lost(address: str, daemon: str) -> int:
+def close_lost_leases(address: str, daemon: str) -> int:
     """Closes the lease records of a daemon that an operator knows to be lost.
 
     Args:
@@ -250,12 +250,12 @@
     table = read_rows(address)
     view = records.TableView()
     view.merge(table.rows)
-    lost = [record for record in view.members() if record.daemon == daemon]
+    lost = [record for record in view.open_records() if record.daemon == daemon]
     if not lost:
         return 0
     builder = changes.Builder(view, f"lost-{time.time_ns():x}")
     for record in lost:
-        builder.close(record, slots.expand(record.runs))
+        builder.close_record(record, slots.expand(record.runs))
     change = builder.build(changes.ChangeKind.CLOSE_GONE, "lost")
     status = _commit(address, msgspec.json.encode(change.transaction))
     if status == 409:
--- a/tamarackgap/ownership/changes.py
+++ b/tamarackgap/ownership/changes.py
@@ -79,7 +79,7 @@
         """Adds the condition that a row has not changed."""
         self._checks[key] = self._view.check(key)
 
-    def put(self, record: records.LeaseRecord) -> None:
+    def put_record(self, record: records.LeaseRecord) -> None:
         """Writes a lease record, on condition that it has not changed."""
         self.check(record.key)
         marked = msgspec.structs.replace(record, change=self._change_id)
@@ -87,7 +87,7 @@
             record.key, records.encode(marked)
         )
 
-    def close(
+    def close_record(
         self,
         record: records.LeaseRecord,
         left: dict[types.Slot, slots.SlotAssignment],
@@ -104,7 +104,7 @@
                 state=types.RecordState.CLOSED,
                 runs=slots.compress(left),
             )
-            self.put(closed)
+            self.put_record(closed)
             return
         self.check(record.key)
         self._writes[record.key] = records.Write(record.key, None)
@@ -195,8 +195,8 @@
     assignments = {
         types.Slot(slot): slots.SlotAssignment(1) for slot in range(slot_count)
     }
-    members = view.members(own_record.service)
-    builder.put(with_assignments(own_record, assignments, members))
+    members = view.open_records(own_record.service)
+    builder.put_record(with_assignments(own_record, assignments, members))
     return builder.build(ChangeKind.CREATE_SERVICE, "no-slots-given-out-yet")
 
 
@@ -206,7 +206,7 @@
     own_record: records.LeaseRecord,
     slot_count: int,
 ) -> None:
-    members = view.members(own_record.service)
+    members = view.open_records(own_record.service)
     owners = [record for record in members if record.can_own] or [own_record]
     for index, owner in enumerate(owners):
         first = slot_count * index // len(owners)
@@ -215,7 +215,7 @@
             types.Slot(slot): slots.SlotAssignment(1)
             for slot in range(first, end)
         }
-        builder.put(with_assignments(owner, assignments, members))
+        builder.put_record(with_assignments(owner, assignments, members))
 
 
 def claim(
@@ -242,7 +242,7 @@
         for slot, fence in slot_claim.fences.items():
             remaining.pop(types.Slot(slot), None)
             assignments[types.Slot(slot)] = slots.SlotAssignment(fence)
-        builder.close(slot_claim.record, remaining)
+        builder.close_record(slot_claim.record, remaining)
         sources.append(slot_claim.record.incarnation)
     owned_before = slots.expand(own_record.runs)
     with_successors = placement.choose_successors(
@@ -252,11 +252,11 @@
             for slot, assignment in assignments.items()
             if slot not in owned_before
         },
-        view.members(own_record.service),
+        view.open_records(own_record.service),
     )
     # Successors of the slots owned before must not change within an epoch.
     ranges = slots.compress({**owned_before, **with_successors})
-    builder.put(msgspec.structs.replace(own_record, runs=ranges))
+    builder.put_record(msgspec.structs.replace(own_record, runs=ranges))
     return builder.build(ChangeKind.CLAIM, "lease-over:" + ",".join(sources))
 
 
@@ -293,8 +293,8 @@
         moved[types.Slot(move.slot)] = slots.SlotAssignment(
             fence, handover=handover(move.slot)
         )
-    members = view.members(new_record.service)
-    builder.put(with_assignments(new_record, assignments, members))
+    members = view.open_records(new_record.service)
+    builder.put_record(with_assignments(new_record, assignments, members))
     for destination, moved in gained.items():
         record = view.lease(destination)
         if record is None:
@@ -303,5 +303,5 @@
         ranges = slots.compress(
             {**slots.expand(record.runs), **with_successors}
         )
-        builder.put(msgspec.structs.replace(record, runs=ranges))
+        builder.put_record(msgspec.structs.replace(record, runs=ranges))
     return builder.build(ChangeKind.RECONFIGURE, reason)
--- a/tamarackgap/ownership/effects.py
+++ b/tamarackgap/ownership/effects.py
@@ -189,7 +189,7 @@
 
     def broadcast(self, message: messages.Message) -> None:
         """Sends a message to every other daemon."""
-        for record in self._view.members():
+        for record in self._view.open_records():
             if record.incarnation != self.incarnation:
                 self.send_to(record.peer_address, message)
 
--- a/tamarackgap/ownership/loads.py
+++ b/tamarackgap/ownership/loads.py
@@ -24,7 +24,7 @@
         # Requests per second, and the time of the report.
         self._reports: dict[str, tuple[float, float]] = {}
 
-    def note(self, incarnation: str, rate: float | None, now: float) -> None:
+    def record(self, incarnation: str, rate: float | None, now: float) -> None:
         """Records a member's load.
 
         Args:
@@ -136,13 +136,13 @@
             # further moves on their load.
             total = None
         own = self._outbox.incarnation
-        self.member_loads.note(own, total, now)
+        self.member_loads.record(own, total, now)
         service = self._settings.service
         policy = self._view.policy(service, self._settings.data_centre)
         self.move_budget.resize(policy.moves, now)
         others = [
             record
-            for record in self._view.members(service)
+            for record in self._view.open_records(service)
             if record.incarnation != own
         ]
         for record in self._rng.sample(others, min(_FANOUT, len(others))):
--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -240,13 +240,13 @@
         """Returns the grants of the current epoch."""
         return self._renewer.own_lease.current
 
-    def find(self, slot: int) -> effects.OwnedSlot | None:
+    def find_slot(self, slot: int) -> effects.OwnedSlot | None:
         """Returns a slot if this daemon owns it, or None."""
-        return self._succession.find(slot) or self._owned.get(slot)
+        return self._succession.find_slot(slot) or self._owned.get(slot)
 
     def refusal(self, slot: int, now: float) -> types.Reason | None:
         """Returns why a slot can't be served now, or None if it can."""
-        if self.find(slot) is None:
+        if self.find_slot(slot) is None:
             return types.Reason.WRONG_OWNER
         if now >= self.lease_until():
             return types.Reason.LEASE_EXPIRED
@@ -416,7 +416,7 @@
         if state is effects.CommitState.COMMITTED:
             if now < self._rejoin_until or change.kind in _KINDS_BEFORE_CLAIM:
                 self._plan_at = now
-            self._outbox.broadcast(messages.Rows(tuple(rows)))
+            self._outbox.broadcast(messages.RowUpdates(tuple(rows)))
         if change.kind is changes.ChangeKind.RECONFIGURE:
             self._epoch_change.cancel()
         self._epoch_change.end_release()
@@ -446,12 +446,12 @@
                 self._renewer.handle_retire_reply(sender, message, now)
             case messages.Release() if witness is not None:
                 witness.release(sender, message)
-            case messages.Rows():
+            case messages.RowUpdates():
                 self.merge(list(message.rows), now)
             case messages.Claim():
                 self._succession.handle_claim(sender, message)
             case messages.LoadReport(rate=rate):
-                self._load_exchange.member_loads.note(sender, rate, now)
+                self._load_exchange.member_loads.record(sender, rate, now)
         if answer is not None:
             # The sender of the answer is the incarnation that was asked,
             # even if it has ended: the owner knows its witness by that id.
@@ -552,7 +552,7 @@
     def _to_owned_slot(
         self, slot: int, assignment: slots.SlotAssignment, now: float
     ) -> effects.OwnedSlot:
-        known = self.find(slot)
+        known = self.find_slot(slot)
         if known is not None and known.fence == assignment.fence:
             return known
         return effects.OwnedSlot(assignment.fence, now, assignment.handover)
@@ -631,17 +631,17 @@
             is_pinned=self._is_pinned,
             rates=self._load_exchange.slot_loads,
             loads=self._load_exchange.member_loads.fresh(now),
-            most_moves=int(self._load_exchange.move_budget.tokens(now)),
+            max_moves=int(self._load_exchange.move_budget.tokens(now)),
             age=now - self._started_at,
             now=now,
             keyed=self.keyed,
             has_low_load=self.has_low_load,
             is_reachable=self.is_reachable,
-            silent_for=self._liveness.unreachable_durations(
+            unreachable_for=self._liveness.unreachable_durations(
                 self._view, self._incarnation, self.is_reachable, now
             ),
             challenged_for=self._liveness.challenge_durations(self._view, now),
-            over=self._ended.ended_before(self._view, now),
+            ended=self._ended.ended_before(self._view, now),
         )
 
     def _change_id(self) -> str:
--- a/tamarackgap/ownership/planner.py
+++ b/tamarackgap/ownership/planner.py
@@ -109,7 +109,7 @@
         accepting=inputs.accepting,
     )
     builder = changes.Builder(inputs.view, change_id)
-    builder.put(record)
+    builder.put_record(record)
     return builder.build(changes.ChangeKind.JOIN, "started")
 
 
@@ -125,7 +125,7 @@
     if updated == own_record:
         return None
     builder = changes.Builder(inputs.view, change_id)
-    builder.put(updated)
+    builder.put_record(updated)
     reason = "accepting" if inputs.accepting else "not-accepting"
     return builder.build(changes.ChangeKind.UPDATE_FLAGS, reason)
 
@@ -196,7 +196,7 @@
     if view.cursor < view.revision(record.key):
         # The successor's record may not have been read yet.
         return {}
-    members = [m for m in view.members(record.service) if m.can_own]
+    members = [m for m in view.open_records(record.service) if m.can_own]
     restarted = [m.incarnation for m in members if m.daemon == record.daemon]
     candidates = restarted or [member.incarnation for member in members]
     fences = {}
@@ -233,13 +233,13 @@
         if record.is_open
         and record.peer_address == settings.peer_address
         and record.incarnation != inputs.incarnation
-        and (waited or record.incarnation in inputs.over)
+        and (waited or record.incarnation in inputs.ended)
     ]
     if not earlier:
         return None
     builder = changes.Builder(inputs.view, change_id)
     for record in earlier:
-        builder.close(record, slots.expand(record.runs))
+        builder.close_record(record, slots.expand(record.runs))
     return builder.build(
         changes.ChangeKind.CLOSE_GONE, "earlier-incarnation-gone"
     )
@@ -271,7 +271,7 @@
         return None
     view = inputs.view
     for record in view.leases():
-        silent = inputs.silent_for.get(record.incarnation, 0.0)
+        silent = inputs.unreachable_for.get(record.incarnation, 0.0)
         if (
             record.is_open
             and silent > _CHALLENGE_AFTER_S
@@ -306,7 +306,7 @@
             )
         waited = inputs.challenged_for.get(name, 0.0)
         if record.epoch == challenge.epoch and waited > limit:
-            builder.close(record, slots.expand(record.runs))
+            builder.close_record(record, slots.expand(record.runs))
             return builder.build(
                 changes.ChangeKind.CLOSE_UNANSWERED, "not-answered"
             )
@@ -320,7 +320,7 @@
     """
     reachable = [
         record.incarnation
-        for record in inputs.view.members()
+        for record in inputs.view.open_records()
         if inputs.is_reachable(record.incarnation)
     ]
     return placement.choose_by_rendezvous(item, reachable) == inputs.incarnation
@@ -360,7 +360,7 @@
     All members wait for those that can't own slots yet. Then the one with
     the lowest incarnation id goes first, so that not all write at once.
     """
-    members = inputs.view.members(own_record.service)
+    members = inputs.view.open_records(own_record.service)
     if any(not record.can_own for record in members):
         return inputs.age > _MAX_SETTLE_TIMES * inputs.settings.settle
     first = min(record.incarnation for record in members)
@@ -387,14 +387,14 @@
     ):
         return None
     builder = changes.Builder(inputs.view, change_id)
-    builder.close(own_record, {})
+    builder.close_record(own_record, {})
     return builder.build(changes.ChangeKind.LEAVE, "drained")
 
 
 def _is_witness(inputs: plannerinputs.PlannerInputs) -> bool:
     return any(
         inputs.incarnation in record.witnesses
-        for record in inputs.view.members()
+        for record in inputs.view.open_records()
     )
 
 
@@ -423,7 +423,7 @@
     unresponsive = plannerinputs.unresponsive_witnesses(inputs)
     chosen = placement.choose_witnesses(
         own_record,
-        inputs.view.members(),
+        inputs.view.open_records(),
         inputs.settings.witnesses,
         lambda name: name in unresponsive or not inputs.is_reachable(name),
     )
@@ -436,7 +436,7 @@
     inputs: plannerinputs.PlannerInputs, own_record: records.LeaseRecord
 ) -> bool:
     assignments = slots.expand(own_record.runs)
-    members = inputs.view.members(own_record.service)
+    members = inputs.view.open_records(own_record.service)
     wanted = placement.choose_successors(own_record, assignments, members)
     return any(
         assignment.successor != assignments[slot].successor
@@ -468,7 +468,7 @@
             owned=tuple(sorted(slots.expand(record.runs))),
             rate=loads.get(record.incarnation),
         )
-        for record in view.members(service)
+        for record in view.open_records(service)
     ]
 
 
@@ -517,7 +517,7 @@
     ]
     limit = inputs.settings.batch
     if inputs.accepting:
-        limit = min(limit, inputs.most_moves)
+        limit = min(limit, inputs.max_moves)
     return tuple(own_moves[:limit])
 
 
--- a/tamarackgap/ownership/plannerinputs.py
+++ b/tamarackgap/ownership/plannerinputs.py
@@ -20,13 +20,13 @@
         accepting: Whether the daemon takes more slots.
         lease_valid: Whether the daemon's lease is valid.
         table_ok: Whether the last attempt to read the table succeeded.
-        done: Number of other owners' epochs that this daemon knows to have
+        takeovers_ended: Number of other owners' epochs that this daemon knows to have
             ended.
         unrecorded: Number of owned slots not yet recorded in the table.
         unresponsive: Witnesses that do not answer or refuse to renew.
         has_low_load: Whether the target has little load.
-        over: Earlier incarnations of this process that have ended.
-        waited: Whether the lease of an earlier process at this address, and
+        ended: Earlier incarnations of this process that have ended.
+        earlier_lease_ended: Whether the lease of an earlier process at this address, and
             the requests that it sent to its target, have ended.
     """
 
@@ -34,12 +34,12 @@
     accepting: bool
     lease_valid: bool
     table_ok: bool
-    done: int
+    takeovers_ended: int
     unrecorded: int
     unresponsive: frozenset[str]
     has_low_load: bool
-    over: frozenset[str]
-    waited: bool
+    ended: frozenset[str]
+    earlier_lease_ended: bool
 
 
 class PlannerInputs(msgspec.Struct, frozen=True):
@@ -60,18 +60,18 @@
         is_pinned: Tells whether a slot must not be moved now.
         rates: Requests per second of each slot served here.
         loads: Requests per second of each member that has reported lately.
-        most_moves: Largest number of slots that may be moved away now.
+        max_moves: Largest number of slots that may be moved away now.
         age: Time since the incarnation began, seconds.
         now: Monotonic time, seconds.
         keyed: Whether the service's keys have owners.
         has_low_load: Whether the target has so little load that its
             slots need not move.
         is_reachable: Tells whether an incarnation has been heard from lately.
-        silent_for: Time for which each unreachable incarnation has been
+        unreachable_for: Time for which each unreachable incarnation has been
             missed, seconds.
         challenged_for: Time for which this daemon has seen each challenge,
             seconds.
-        over: Earlier incarnations of this process that have ended.
+        ended: Earlier incarnations of this process that have ended.
     """
 
     view: records.TableView
@@ -88,29 +88,29 @@
     is_pinned: Callable[[int], bool]
     rates: dict[int, float]
     loads: dict[str, float]
-    most_moves: int
+    max_moves: int
     age: float
     now: float
     keyed: bool = True
     has_low_load: bool = False
     is_reachable: Callable[[str], bool] = lambda name: True
-    silent_for: dict[str, float] = {}
+    unreachable_for: dict[str, float] = {}
     challenged_for: dict[str, float] = {}
-    over: frozenset[str] = frozenset()
+    ended: frozenset[str] = frozenset()
 
     def signature(self) -> InputsSignature:
         """Returns the inputs whose change makes the planner run again."""
-        done = sum(attempt.has_ended for attempt in self.takeovers)
+        takeovers_ended = sum(attempt.has_ended for attempt in self.takeovers)
         return InputsSignature(
             self.view.version,
             self.accepting,
             self.lease_valid,
             self.table_ok,
-            done,
+            takeovers_ended,
             len(self.unrecorded),
             frozenset(unresponsive_witnesses(self)),
             self.has_low_load,
-            self.over,
+            self.ended,
             self.age >= earlier_lease_timeout(self.settings),
         )
 
--- a/tamarackgap/ownership/succession.py
+++ b/tamarackgap/ownership/succession.py
@@ -56,7 +56,7 @@
         """Slots owned through seals but not yet recorded in the table."""
         return dict(self._unrecorded)
 
-    def find(self, slot: int) -> effects.OwnedSlot | None:
+    def find_slot(self, slot: int) -> effects.OwnedSlot | None:
         """Returns a slot that is owned through seals, or None."""
         return self._unrecorded.get(slot)
 
@@ -147,7 +147,7 @@
                 attempt.asked_at = now
                 self._request_seals(attempt, record, now)
             return False
-        if now < attempt.over_at():
+        if now < attempt.lease_end():
             return False
         attempt.has_ended = True
         # Slots of a retired epoch are served only once the table records
--- a/tamarackgap/ownership/takeover.py
+++ b/tamarackgap/ownership/takeover.py
@@ -109,7 +109,7 @@
             return Mode.TABLE
         return Mode.PENDING
 
-    def over_at(self) -> float:
+    def lease_end(self) -> float:
         """Returns when the lease has ended, seconds on the successor's clock.
 
         Any majority of stopped witnesses shares a member with each majority
--- a/tamarackgap/peers/calls.py
+++ b/tamarackgap/peers/calls.py
@@ -109,7 +109,7 @@
     fingerprints: dict[str, tuple[float, float]]
 
 
-class ContentCleared(
+class FingerprintCleared(
     msgspec.Struct, tag="content-cleared", array_like=True, frozen=True
 ):
     """Reports that a request involved in an earlier crash was answered."""
@@ -142,7 +142,7 @@
         waiting: Number of calls in the daemon's queue.
         relative_latency: Usual time of a call at the target, as a fraction
             of the latency objective of its route; 0 before the first call.
-        version: Version of the route table in use.
+        route_table_version: Version of the route table in use.
         data_centre: Data centre of the daemon.
         process: Id of the daemon's process; it is kept when the daemon
             starts a new incarnation.
@@ -155,7 +155,7 @@
     running: int
     waiting: int
     relative_latency: float
-    version: int
+    route_table_version: int
     data_centre: types.DataCentre
     process: str
     interval: float
--- a/tamarackgap/peers/messages.py
+++ b/tamarackgap/peers/messages.py
@@ -133,7 +133,7 @@
     epoch: int
 
 
-class Rows(msgspec.Struct, tag="rows", array_like=True, frozen=True):
+class RowUpdates(msgspec.Struct, tag="rows", array_like=True, frozen=True):
     """Passes on rows that were just written to the table."""
 
     rows: tuple[records.Row, ...]
@@ -258,7 +258,7 @@
     | Retire
     | RetireReply
     | Release
-    | Rows
+    | RowUpdates
     | Claim
     | Forward
     | ForwardReply
@@ -269,7 +269,7 @@
     | calls.Completion
     | calls.Withdraw
     | calls.TargetCrash
-    | calls.ContentCleared
+    | calls.FingerprintCleared
     | calls.TargetStatus
     | calls.RouteTableRequest
     | calls.RouteTableUpdate
--- a/tamarackgap/peers/transport.py
+++ b/tamarackgap/peers/transport.py
@@ -24,7 +24,7 @@
 # An int, because flags of an enumeration are slow to combine.
 _READABLE = int(zmq.POLLIN)
 
-Receive = Callable[[messages.Envelope], None]
+OnMessage = Callable[[messages.Envelope], None]
 
 
 class PeerTransport:
@@ -46,7 +46,7 @@
         deployment: str,
         address: str,
         max_message_bytes: int,
-        receive: Receive,
+        receive: OnMessage,
     ) -> None:
         """Binds the receiving socket.
 
--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -78,7 +78,7 @@
     reason: str
 
 
-def score(item: object, candidate: str) -> int:
+def rendezvous_hash(item: object, candidate: str) -> int:
     """Returns a candidate's rendezvous hash for an item; the highest wins."""
     return xxhash.xxh3_64_intdigest(f"{item}/{candidate}".encode())
 
@@ -117,7 +117,7 @@
     [
         Member,
         Sequence[Member],
-        "Costs",
+        "CostModel",
         dict[str, float],
         dict[Member, float],
     ],
@@ -125,7 +125,7 @@
 ]
 
 
-class Costs:
+class CostModel:
     """Computes the costs of slots and members.
 
     Costs are fractions of the cost of all slots together.
@@ -140,12 +140,12 @@
             members: Members that take part; a missing rate counts as 0.
             rates: Requests a second of slots whose own rate is known.
         """
-        self.total = sum(member.rate or 0.0 for member in members) or 1.0
+        self.total_rate = sum(member.rate or 0.0 for member in members) or 1.0
         count = sum(len(member.owned) for member in members)
         self._fixed_cost = (1 - _LOAD_WEIGHT) / max(1, count)
         self._rates = rates
 
-    def slot(self, slot: int, owner: Member) -> float:
+    def slot_cost(self, slot: int, owner: Member) -> float:
         """Returns a slot's cost.
 
         A slot without a rate of its own is given the mean rate of its
@@ -154,11 +154,11 @@
         rate = self._rates.get(slot)
         if rate is None:
             rate = (owner.rate or 0.0) / max(1, len(owner.owned))
-        return self._fixed_cost + _LOAD_WEIGHT * rate / self.total
+        return self._fixed_cost + _LOAD_WEIGHT * rate / self.total_rate
 
-    def member(self, member: Member) -> float:
+    def member_cost(self, member: Member) -> float:
         """Returns the cost of all slots of a member."""
-        load = _LOAD_WEIGHT * (member.rate or 0.0) / self.total
+        load = _LOAD_WEIGHT * (member.rate or 0.0) / self.total_rate
         return self._fixed_cost * len(member.owned) + load
 
 
@@ -192,15 +192,15 @@
     participants = [
         m for m in members if m.rate is not None or not (m.owned and m.weight)
     ]
-    costs = Costs(participants, rates or {})
-    if costs.total < _MIN_TOTAL_RATE_PER_S and _is_any_rate_known(members):
+    costs = CostModel(participants, rates or {})
+    if costs.total_rate < _MIN_TOTAL_RATE_PER_S and _is_any_rate_known(members):
         return _plan_count_moves(slot_count, members)
     total = sum(member.weight for member in participants)
     if not total:
         return []
     shares = {member: member.weight / total for member in participants}
     headroom = {
-        member.incarnation: share - costs.member(member)
+        member.incarnation: share - costs.member_cost(member)
         for member, share in shares.items()
     }
     moves: list[Move] = []
@@ -245,7 +245,7 @@
 def plan_slot_moves(
     source: Member,
     members: Sequence[Member],
-    costs: Costs,
+    costs: CostModel,
     headroom: dict[str, float],
     shares: dict[Member, float],
 ) -> list[Move]:
@@ -261,7 +261,9 @@
     moves: list[Move] = []
     reason = "load" if source.weight else "weight-zero"
     share = shares[source]
-    slot_costs = [(costs.slot(slot, source), slot) for slot in source.owned]
+    slot_costs = [
+        (costs.slot_cost(slot, source), slot) for slot in source.owned
+    ]
     candidates = [member for member in members if member.weight]
     for cost, slot in sorted(slot_costs, reverse=True):
         excess = -headroom[source.incarnation]
@@ -296,7 +298,7 @@
 def plan_block_moves(
     source: Member,
     members: Sequence[Member],
-    costs: Costs,
+    costs: CostModel,
     headroom: dict[str, float],
     shares: dict[Member, float],
 ) -> list[Move]:
@@ -317,7 +319,7 @@
     reason = "load" if source.weight else "weight-zero"
     remaining = sorted(source.owned)
     candidates = [m for m in members if m.weight and m is not source]
-    cost_of = {slot: costs.slot(slot, source) for slot in remaining}
+    cost_of = {slot: costs.slot_cost(slot, source) for slot in remaining}
     while remaining and candidates:
         excess = (
             -headroom[source.incarnation] if source.weight else float("inf")
@@ -497,7 +499,7 @@
             key=lambda record: (
                 data_centres.count(record.data_centre),
                 record.incarnation not in current,
-                -score(owner.incarnation, record.incarnation),
+                -rendezvous_hash(owner.incarnation, record.incarnation),
             ),
         )
         chosen.append(best)
@@ -536,7 +538,7 @@
     ]
     names = sorted(
         (record.incarnation for record in outside or others),
-        key=lambda name: score(owner.incarnation, name),
+        key=lambda name: rendezvous_hash(owner.incarnation, name),
         reverse=True,
     )[:_MAX_SUCCESSORS]
     if not names:
@@ -572,7 +574,7 @@
         if not name or counts[name] >= fair_count:
             name = min(
                 names,
-                key=lambda name: (counts[name], -score(slot, name)),
+                key=lambda name: (counts[name], -rendezvous_hash(slot, name)),
             )
         chosen[slot] = name
         counts[name] += 1
@@ -589,6 +591,6 @@
     """
     return max(
         candidates,
-        key=lambda name: score(item, name),
+        key=lambda name: rendezvous_hash(item, name),
         default=types.NO_INCARNATION,
     )
--- a/tamarackgap/placement/records.py
+++ b/tamarackgap/placement/records.py
@@ -369,7 +369,7 @@
                 return row
         return Policy()
 
-    def members(self, service: str | None = None) -> list[LeaseRecord]:
+    def open_records(self, service: str | None = None) -> list[LeaseRecord]:
         """Returns the open lease records, sorted by incarnation.
 
         Args:
--- a/tamarackgap/platform/__main__.py
+++ b/tamarackgap/platform/__main__.py
@@ -40,7 +40,7 @@
                 daemon.poller, daemon.timers, settings.table_address
             ),
             decode_call=requests.decode_call,
-            encode_answer=requests.encode_answer,
+            encode_response=requests.encode_response,
             codec=runner.Codec(
                 requests.encode_call,
                 requests.is_answer_to,
--- a/tamarackgap/platform/requests.py
+++ b/tamarackgap/platform/requests.py
@@ -187,7 +187,7 @@
     return running >= capacity or waiting > 0
 
 
-def encode_answer(completion: calls.Completion) -> adapter.Response:
+def encode_response(completion: calls.Completion) -> adapter.Response:
     """Returns the response to the client for a completion."""
     if completion.verdict is types.Verdict.ANSWERED:
         headers = [
--- a/tamarackgap/platform/store.py
+++ b/tamarackgap/platform/store.py
@@ -17,7 +17,7 @@
 from tamarackgap.traffic import routetable
 
 _IDLE_TIMEOUT_S = 20.0
-_ACK_TIMEOUT_MS = 2500
+_UNACKED_TIMEOUT_MS = 2500
 _CALL_TIMEOUT_S = 2.0
 # A longer poll costs fewer calls, but on a connection that has gone silent
 # changes are missed until the poll ends.
@@ -81,7 +81,7 @@
 
 # Called with rows, the revision up to which they are complete, and the time on
 # this process's clock at which the table had that state, seconds.
-Rows = Callable[[list[records.Row], int, float], None]
+OnRows = Callable[[list[records.Row], int, float], None]
 
 
 class Store:
@@ -100,7 +100,7 @@
         self._timers = timers
         self._address = address
         self._pool = httppool.ConnectionPool(
-            poller, timers, address, _IDLE_TIMEOUT_S, _ACK_TIMEOUT_MS
+            poller, timers, address, _IDLE_TIMEOUT_S, _UNACKED_TIMEOUT_MS
         )
         self._call_counts: dict[str, int] = {}
         self._own_watch: _TableWatch | None = None
@@ -126,7 +126,7 @@
         """Returns the number of calls by path and result."""
         return dict(self._call_counts)
 
-    def watch(self, rows: Rows, failed: Callable[[str], None]) -> None:
+    def watch(self, rows: OnRows, failed: Callable[[str], None]) -> None:
         """Reads this system's rows, then each change, until the process ends.
 
         Args:
@@ -270,7 +270,7 @@
         store: Store,
         table: str,
         pause: float,
-        on_rows: Rows,
+        on_rows: OnRows,
         on_failure: Callable[[str], None],
     ) -> None:
         self._store = store
--- a/tamarackgap/processes/daemon.py
+++ b/tamarackgap/processes/daemon.py
@@ -200,7 +200,7 @@
             or now - self._started_at > _FIRST_ANNOUNCEMENT_WAIT_S
         ):
             self._core.set_target_state(
-                self._target_client.takes_work
+                self._target_client.accepts_requests
                 and self._executor.is_target_healthy()
                 and not draining,
                 self._target_client.checks_grants,
@@ -267,7 +267,9 @@
                 self._perform_effects()
 
     def _broadcast_crash(self, report: messages.CrashReport) -> None:
-        for record in self._core.view.members(self._settings.daemon_service):
+        for record in self._core.view.open_records(
+            self._settings.daemon_service
+        ):
             if record.incarnation != self._core.incarnation:
                 self._transport.send(
                     self._core.incarnation, record.peer_address, report
--- a/tamarackgap/processes/peersync.py
+++ b/tamarackgap/processes/peersync.py
@@ -101,10 +101,12 @@
                 self._dispatcher.update_status(
                     envelope.sender, envelope.address, status
                 )
-                self._request_table_if_newer(status.version, envelope.address)
+                self._request_table_if_newer(
+                    status.route_table_version, envelope.address
+                )
             case calls.TargetCrash() as crash:
                 self._record_crash(crash)
-            case calls.ContentCleared(fingerprint=fingerprint):
+            case calls.FingerprintCleared(fingerprint=fingerprint):
                 self._crash_history.clear(fingerprint)
             case calls.RouteTableRequest():
                 table = self._route_table()
@@ -123,7 +125,7 @@
             own, self._core.settings.peer_address, status
         )
         self._informed = {
-            record.incarnation for record in self._core.view.members()
+            record.incarnation for record in self._core.view.open_records()
         }
         self._broadcast(status)
 
@@ -137,7 +139,7 @@
         self._informed_version = self._core.view.version
         status = self._status()
         own = self._core.settings.peer_address
-        for record in self._core.view.members():
+        for record in self._core.view.open_records():
             if record.incarnation in self._informed:
                 continue
             self._informed.add(record.incarnation)
@@ -152,8 +154,8 @@
         now = self._timers.now
         crash = calls.TargetCrash(
             {
-                fingerprint: (now - begun, now - end)
-                for fingerprint, begun, end in crashed_runs
+                fingerprint: (now - started, now - end)
+                for fingerprint, started, end in crashed_runs
             }
         )
         logs.event("target_crashed", contents=len(crash.fingerprints))
@@ -162,7 +164,7 @@
 
     def broadcast_cleared(self, fingerprint: str) -> None:
         """Tells all daemons that a request from a crash has been answered."""
-        self._broadcast(calls.ContentCleared(fingerprint))
+        self._broadcast(calls.FingerprintCleared(fingerprint))
 
     def _broadcast_periodically(self) -> None:
         self._status_interval = status_interval(len(self._informed))
@@ -187,9 +189,9 @@
 
     def _record_crash(self, crash: calls.TargetCrash) -> None:
         now = self._timers.now
-        for fingerprint, (begun, ended) in crash.fingerprints.items():
+        for fingerprint, (started, ended) in crash.fingerprints.items():
             if self._crash_history.record(
-                fingerprint, now - begun, now - ended
+                fingerprint, now - started, now - ended
             ):
                 logs.event(
                     "content_barred", content=fingerprint, s=crashes.BAR_TIME_S
@@ -211,7 +213,7 @@
     def _broadcast(self, message: messages.Message) -> None:
         own = self._core.settings.peer_address
         addresses = {
-            record.peer_address for record in self._core.view.members()
+            record.peer_address for record in self._core.view.open_records()
         }
         # Daemons that have left their lease still have callers.
         addresses |= self._dispatcher.addresses()
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -67,7 +67,7 @@
 # force, with a traceback that shows where it hung.
 _EXIT_TIMEOUT_S = 2.0
 _TARGET_IDLE_TIMEOUT_S = 7.0
-_TARGET_ACK_TIMEOUT_MS = 3000
+_TARGET_UNACKED_TIMEOUT_MS = 3000
 _ENVELOPE_OVERHEAD_BYTES = 65_536
 _STATUS_OK = 200
 _STATUS_NOT_FOUND = 404
@@ -143,7 +143,7 @@
             self.timers,
             settings.router_target_address,
             _TARGET_IDLE_TIMEOUT_S,
-            _TARGET_ACK_TIMEOUT_MS,
+            _TARGET_UNACKED_TIMEOUT_MS,
         )
         # Orders have a link of their own, so that they don't wait for calls.
         # They need few of the target's connections.
@@ -152,7 +152,7 @@
             self.timers,
             settings.router_target_address,
             _TARGET_IDLE_TIMEOUT_S,
-            _TARGET_ACK_TIMEOUT_MS,
+            _TARGET_UNACKED_TIMEOUT_MS,
         )
         lease = settings.ownership_lease / 1000
         self._slot_grants = slotgrants.SlotGrants(
@@ -199,7 +199,7 @@
             self._crash_history,
             settings.daemon_data_centre,
         )
-        self._core.is_reachable = self._request_dispatcher.is_heard
+        self._core.is_reachable = self._request_dispatcher.is_reachable
         self._peer_sync = peersync.PeerSync(
             self._core,
             self._transport,
@@ -209,13 +209,13 @@
             self.timers,
             lambda: self._route_table,
         )
-        self._runner.on_content_cleared = self._peer_sync.broadcast_cleared
+        self._runner.on_fingerprint_cleared = self._peer_sync.broadcast_cleared
         self._local_target = localtarget.LocalTarget(
             self._service, settings.router_announce_interval / 1000, now()
         )
         self._metrics = metrics.Metrics(settings.daemon_name, self._service)
-        self._request_dispatcher.observe = self._observe_request
-        self._runner.observe = self._observe_call
+        self._request_dispatcher.on_finished = self._observe_request
+        self._runner.on_finished = self._observe_call
         if settings.router_metrics_address:
             self._listen(settings.router_metrics_address, self._build_pages())
         self._caller_server = self._listen(
@@ -285,7 +285,7 @@
             timeout,
             functools.partial(self._respond, incoming),
         )
-        if pending.done is not None:
+        if pending.on_done is not None:
             incoming.on_disconnect = functools.partial(
                 self._request_dispatcher.cancel, pending
             )
@@ -293,7 +293,7 @@
     def _respond(
         self, incoming: httpserver.IncomingRequest, completion: calls.Completion
     ) -> None:
-        response = self._adapter.encode_answer(completion)
+        response = self._adapter.encode_response(completion)
         incoming.respond(response.status, response.headers, response.body)
 
     # The target.
@@ -445,7 +445,7 @@
         self, rows: list[records.Row], revision: int, as_of: float
     ) -> None:
         self._core.apply_table_read(_valid_rows(rows), revision, now(), as_of)
-        members = self._core.view.members()
+        members = self._core.view.open_records()
         member_addresses = {record.peer_address for record in members}
         self._transport.set_peers(
             member_addresses | self._request_dispatcher.addresses()
@@ -588,7 +588,7 @@
         self, pending: dispatcher.PendingRequest, completion: calls.Completion
     ) -> None:
         reason = completion.reason.value if completion.reason else ""
-        elapsed = self.timers.now - pending.begun
+        elapsed = self.timers.now - pending.received_at
         self._metrics.observe_request(
             completion.verdict.value, reason, elapsed, pending.route.name
         )
@@ -614,7 +614,7 @@
                 target=self._local_target,
                 runner=self._runner,
                 dispatcher=self._request_dispatcher,
-                holds=self._slot_grants,
+                slot_grants=self._slot_grants,
                 store=self._adapter.store,
                 metrics=self._metrics,
                 route_table=lambda: (
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -34,7 +34,7 @@
         target: State of the local target.
         runner: Calls for the local target.
         dispatcher: Callers' requests that this daemon received.
-        holds: Slots granted to the local target.
+        slot_grants: Slots granted to the local target.
         store: Client of the store that keeps the table's rows.
         metrics: Counters and histograms.
         route_table: Returns the version of the route table in force, and
@@ -47,7 +47,7 @@
     target: localtarget.LocalTarget
     runner: runner.Runner
     dispatcher: dispatcher.Dispatcher
-    holds: slotgrants.SlotGrants
+    slot_grants: slotgrants.SlotGrants
     store: adapter.Store
     metrics: metrics.Metrics
     route_table: Callable[[], tuple[int, float]]
@@ -178,7 +178,9 @@
     explanation = reports.explanation(
         sources.core, service, query["key"], slot, sources.clock()
     )
-    if explanation.here and not sources.holds.is_held(slot, sources.clock()):
+    if explanation.here and not sources.slot_grants.is_held(
+        slot, sources.clock()
+    ):
         return msgspec.structs.replace(
             explanation, here=False, refusal="not-held-by-target"
         )
@@ -195,7 +197,7 @@
         "queued": state.waiting,
         "table_revision": state.table_revision,
         "renewal_lateness_seconds": sources.core.renewal_lateness,
-        "held_runs": sources.holds.range_count,
+        "held_runs": sources.slot_grants.range_count,
         "route_table_version": state.routes_version,
         "route_table_age_seconds": state.routes_age_ms / 1000,
         "table_read_age_seconds": state.table_read_age_ms / 1000,
--- a/tamarackgap/requests/dedup.py
+++ b/tamarackgap/requests/dedup.py
@@ -24,12 +24,12 @@
     """Holds one request.
 
     Attributes:
-        begun_ms: Wall-clock time at which it was started, milliseconds since
+        started_ms: Wall-clock time at which it was started, milliseconds since
             1970.
         outcome: Its result, or None while it is in progress.
     """
 
-    begun_ms: int
+    started_ms: int
     outcome: verdicts.Result | None = None
 
 
@@ -121,7 +121,9 @@
         while self._entries:
             request_id, entry = next(iter(self._entries.items()))
             full = len(self._entries) >= self._limit
-            if entry.begun_ms >= oldest_ms and not full:
+            if entry.started_ms >= oldest_ms and not full:
                 return
-            self._dropped_until_ms = max(self._dropped_until_ms, entry.begun_ms)
+            self._dropped_until_ms = max(
+                self._dropped_until_ms, entry.started_ms
+            )
             del self._entries[request_id]
--- a/tamarackgap/requests/executor.py
+++ b/tamarackgap/requests/executor.py
@@ -208,7 +208,7 @@
 
         Returns None if the request was certainly not executed before.
         """
-        owned_slot = self._core.find(forward.slot)
+        owned_slot = self._core.find_slot(forward.slot)
         wall_ms = self._wall_ms()
         owned_ms = int((self._clock() - owned_slot.since) * 1000)
         request_state = self._dedup_cache.lookup(
@@ -245,7 +245,7 @@
         if refusal is not None:
             self._finish(leg, verdicts.not_run(refusal))
             return
-        owned_slot = self._core.find(forward.slot)
+        owned_slot = self._core.find_slot(forward.slot)
         leg.started_at = now
         if not forward.idempotent:
             known_result = self._known_result(forward)
--- a/tamarackgap/requests/quarantine.py
+++ b/tamarackgap/requests/quarantine.py
@@ -30,12 +30,12 @@
     """Holds one fingerprint.
 
     Attributes:
-        standing: Its state.
-        until: Time at which it becomes clear again, monotonic seconds.
+        state: Its state.
+        expires_at: Time at which it becomes clear again, monotonic seconds.
     """
 
-    standing: QuarantineState
-    until: float
+    state: QuarantineState
+    expires_at: float
 
 
 def digest(parts: Iterable[str], body: bytes) -> str:
@@ -88,9 +88,9 @@
             now: Monotonic time, seconds.
         """
         entry = self._entries.get(fingerprint)
-        if entry is None or entry.until <= now:
+        if entry is None or entry.expires_at <= now:
             return QuarantineState.CLEAR
-        return entry.standing
+        return entry.state
 
     def add(self, fingerprint: str, state: QuarantineState, now: float) -> None:
         """Adds a fingerprint, or renews it.
--- a/tamarackgap/requests/targetclient.py
+++ b/tamarackgap/requests/targetclient.py
@@ -129,7 +129,7 @@
         return min(announcement.slots, announcement.connections)
 
     @property
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Whether the target is present and not leaving."""
         announcement = self.announcement
         return announcement is not None and not announcement.leaving
--- a/tamarackgap/table/tablereader.py
+++ b/tamarackgap/table/tablereader.py
@@ -72,7 +72,7 @@
         The interval grows with the number of daemons in the table.
         """
         self._read()
-        fair_interval = len(self._core.view.members()) / _MAX_POLLS_PER_S
+        fair_interval = len(self._core.view.open_records()) / _MAX_POLLS_PER_S
         self._timers.after(max(self._poll_interval, fair_interval), self.poll)
 
     def read_soon(self) -> None:
@@ -84,7 +84,7 @@
         if self._read_scheduled:
             return
         self._read_scheduled = True
-        max_delay = len(self._core.view.members()) / _MAX_REFRESHES_PER_S
+        max_delay = len(self._core.view.open_records()) / _MAX_REFRESHES_PER_S
         self._timers.after(
             self._rng.uniform(0, max_delay), self._run_scheduled_read
         )
--- a/tamarackgap/traffic/adapter.py
+++ b/tamarackgap/traffic/adapter.py
@@ -108,7 +108,7 @@
         decode_call: Decodes a caller's request. Takes the request and the
             service of this VM; returns what is wrong with it if it is
             malformed.
-        encode_answer: Returns the response to the caller for a completion.
+        encode_response: Returns the response to the caller for a completion.
         codec: Encodes calls for targets and decodes their answers.
         encode_order: Returns the bytes of an order to the target.
         decode_order_answer: Returns the outcome of an order from the target's
@@ -124,7 +124,7 @@
         [httpserver.IncomingRequest, types.ServiceName],
         result.Result[DecodedRequest, str],
     ]
-    encode_answer: Callable[[calls.Completion], Response]
+    encode_response: Callable[[calls.Completion], Response]
     codec: runner.Codec
     encode_order: Callable[[slotgrants.Grant | slotgrants.Release], bytes]
     decode_order_answer: Callable[[httppool.Answer], slotgrants.OrderResult]
--- a/tamarackgap/traffic/balancer.py
+++ b/tamarackgap/traffic/balancer.py
@@ -47,10 +47,10 @@
         last_heard: Monotonic time of the last status or completion, seconds.
         data_centre: The data centre of its daemon.
         process: Id of its daemon's process.
-        interval: Time between two statuses of its daemon, seconds.
+        status_interval: Time between two statuses of its daemon, seconds.
         failures: Number of failed calls, decayed by age.
         successes: Number of successful calls, decayed by age.
-        weighed_at: Monotonic time up to which both numbers are decayed,
+        decayed_at: Monotonic time up to which both numbers are decayed,
             seconds.
     """
 
@@ -64,10 +64,10 @@
     last_heard: float = float("-inf")
     data_centre: str = ""
     process: str = ""
-    interval: float = 0.0
+    status_interval: float = 0.0
     failures: float = 0.0
     successes: float = 0.0
-    weighed_at: float = 0.0
+    decayed_at: float = 0.0
 
     def failure_ratio(self, now: float) -> float:
         """Returns the recent number of failures per success.
@@ -92,10 +92,10 @@
         factor = self._decay_factor(now)
         self.failures *= factor
         self.successes *= factor
-        self.weighed_at = now
+        self.decayed_at = now
 
     def _decay_factor(self, now: float) -> float:
-        return 0.5 ** ((now - self.weighed_at) / _OUTCOME_HALF_LIFE_S)
+        return 0.5 ** ((now - self.decayed_at) / _OUTCOME_HALF_LIFE_S)
 
     def is_usable(self, now: float) -> bool:
         """Returns whether new calls may be sent to the target."""
@@ -103,7 +103,9 @@
 
     def is_silent(self, now: float) -> bool:
         """Returns whether the daemon has not reported for too long."""
-        limit = max(SILENCE_TIMEOUT_S, self.interval * _SILENCE_INTERVALS)
+        limit = max(
+            SILENCE_TIMEOUT_S, self.status_interval * _SILENCE_INTERVALS
+        )
         return now - self.last_heard >= limit
 
     def estimate(self, now: float, default_latency: float) -> float:
--- a/tamarackgap/traffic/crashes.py
+++ b/tamarackgap/traffic/crashes.py
@@ -30,12 +30,12 @@
     """Holds the crashes of one fingerprint.
 
     Attributes:
-        strikes: Number of crashes.
+        crash_count: Number of crashes.
         first: Begin of the first run that crashed, monotonic seconds.
         last: End of the last run that crashed, monotonic seconds.
     """
 
-    strikes: int
+    crash_count: int
     first: float
     last: float
 
@@ -67,7 +67,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def record(self, fingerprint: str, begun: float, ended: float) -> bool:
+    def record(self, fingerprint: str, started: float, ended: float) -> bool:
         """Records that a target crashed while it ran a request.
 
         Targets that crash at the same time do so for another reason, so a run
@@ -76,7 +76,7 @@
 
         Args:
             fingerprint: The request's fingerprint.
-            begun: Monotonic time at which the run began, seconds.
+            started: Monotonic time at which the run began, seconds.
             ended: Monotonic time of the crash, seconds.
 
         Returns:
@@ -84,19 +84,19 @@
         """
         entry = self._entries.get(fingerprint)
         if entry is None or ended - entry.last > _RETENTION_S:
-            entry = _Entry(1, begun, ended)
+            entry = _Entry(1, started, ended)
             self._entries[fingerprint] = entry
         elif (
-            begun >= entry.last - _REPORT_SKEW_S
+            started >= entry.last - _REPORT_SKEW_S
             or ended <= entry.first + _REPORT_SKEW_S
         ):
-            entry.strikes += 1
-            entry.first = min(entry.first, begun)
+            entry.crash_count += 1
+            entry.first = min(entry.first, started)
             entry.last = max(entry.last, ended)
         self._entries.move_to_end(fingerprint)
         while len(self._entries) > _MAX_FINGERPRINTS:
             self._entries.popitem(last=False)
-        return entry.strikes >= _BARRING_CRASHES
+        return entry.crash_count >= _BARRING_CRASHES
 
     def clear(self, fingerprint: str) -> bool:
         """Removes the fingerprint of a request that was answered.
@@ -109,6 +109,6 @@
     def barred_for(self, fingerprint: str, now: float) -> float:
         """Returns the seconds for which a request must not be sent, or 0."""
         entry = self._entries.get(fingerprint)
-        if entry is None or entry.strikes < _BARRING_CRASHES:
+        if entry is None or entry.crash_count < _BARRING_CRASHES:
             return 0.0
         return max(0.0, entry.last + BAR_TIME_S - now)
--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -62,31 +62,31 @@
         call: The request as it is handed to targets.
         route: The route that it matched.
         service: The service that is to run it.
-        begun: Monotonic time at which it was received, seconds.
+        received_at: Monotonic time at which it was received, seconds.
         deadline: Monotonic time by which it must be answered, seconds.
-        done: Called once with the completion; None after that.
+        on_done: Called once with the completion; None after that.
         leg: Id of the current leg; 0 if there is none.
         candidate: The target that the last leg was sent to.
         tried: Incarnations that a leg was sent to.
         runs: Number of legs that may have reached a target.
         may_have_run: Whether any leg may have been executed.
         timer: Fires at the deadline.
-        last: The completion of the last leg that did not end the request.
+        last_completion: The completion of the last leg that did not end the request.
     """
 
     call: calls.Call
     route: routetable.Route
     service: types.ServiceName
-    begun: float
+    received_at: float
     deadline: float
-    done: DoneCallback | None
+    on_done: DoneCallback | None
     leg: int = 0
     candidate: balancer.Candidate | None = None
     tried: frozenset[str] = frozenset()
     runs: int = 0
     may_have_run: bool = False
     timer: scheduler.Timer | None = None
-    last: calls.Completion | None = None
+    last_completion: calls.Completion | None = None
 
 
 class Dispatcher:
@@ -132,7 +132,7 @@
         self._leg_ids = itertools.count(1)
         self._in_flight = 0
         # Called with each request that has ended, for metrics.
-        self.observe: Callable[[PendingRequest, calls.Completion], None] = (
+        self.on_finished: Callable[[PendingRequest, calls.Completion], None] = (
             _ignore
         )
 
@@ -147,9 +147,9 @@
             name for name, service in table.services.items() if service.keyed
         )
 
-    def is_heard(self, incarnation: str) -> bool:
+    def is_reachable(self, incarnation: str) -> bool:
         """Returns whether a daemon has reported its status recently."""
-        return self._targets.is_heard(incarnation)
+        return self._targets.is_reachable(incarnation)
 
     def addresses(self) -> set[str]:
         """Returns the `ip:port` of all daemons that calls may be sent to."""
@@ -208,10 +208,10 @@
 
     def cancel(self, pending: PendingRequest) -> None:
         """Cancels a request whose caller has gone away."""
-        if pending.done is None:
+        if pending.on_done is None:
             return
         # The completion is still logged and counted.
-        pending.done = _discard
+        pending.on_done = _discard
         self._withdraw_leg(pending)
         self._finish(
             pending,
@@ -254,7 +254,7 @@
 
     def _send_leg(self, pending: PendingRequest) -> None:
         """Chooses a target and sends the next leg, or ends the request."""
-        if pending.done is None:
+        if pending.on_done is None:
             return
         now = self._timers.now
         if self._crash_history:
@@ -283,8 +283,11 @@
             )
             if candidate is None:
                 reason = types.Reason.TARGET_ABSENT
-                if pending.last is not None and pending.last.reason:
-                    reason = pending.last.reason
+                if (
+                    pending.last_completion is not None
+                    and pending.last_completion.reason
+                ):
+                    reason = pending.last_completion.reason
                 self._finish(
                     pending, self._final_completion(pending, reason, False)
                 )
@@ -321,7 +324,9 @@
             rank=route.rank,
             idempotent=route.idempotent,
             latency_objective=route.latency_objective,
-            objective_remaining=pending.begun + route.latency_objective - now,
+            objective_remaining=pending.received_at
+            + route.latency_objective
+            - now,
         )
         pending.leg = leg
         pending.candidate = candidate
@@ -356,7 +361,7 @@
         self._record_outcome(pending, failed)
         if failed and pending.route.idempotent and self._may_rerun(pending):
             pending.may_have_run = True
-            pending.last = completion
+            pending.last_completion = completion
             self._send_leg(pending)
             return
         self._finish(pending, completion)
@@ -378,7 +383,7 @@
         reason = completion.reason
         may_have_run = completion.verdict is types.Verdict.MAY_HAVE_RUN
         pending.may_have_run |= may_have_run
-        pending.last = completion
+        pending.last_completion = completion
         if may_have_run or reason is types.Reason.TARGET_REFUSED:
             self._record_outcome(pending, True)
         if may_have_run:
@@ -460,7 +465,7 @@
         """
         now = self._timers.now
         until = (
-            pending.begun
+            pending.received_at
             + pending.route.latency_objective * _MAX_MOVE_WAIT_SHARE
         )
         is_moving = reason in (
@@ -511,7 +516,7 @@
             self._peer_transport.send(own, address, calls.Withdraw(pending.leg))
 
     def _handle_deadline(self, pending: PendingRequest) -> None:
-        if pending.done is None:
+        if pending.on_done is None:
             return
         self._withdraw_leg(pending)
         has_leg = bool(pending.leg)
@@ -536,11 +541,11 @@
             retry_after: Seconds after which the caller may try again; 0 for
                 the default.
         """
-        if pending.last is not None and (
-            pending.last.verdict is types.Verdict.ANSWERED
+        if pending.last_completion is not None and (
+            pending.last_completion.verdict is types.Verdict.ANSWERED
         ):
             # A 5xx answer from a target says more than a reason of the router.
-            return pending.last
+            return pending.last_completion
         may_have_run = may_have_run or pending.may_have_run
         verdict = (
             types.Verdict.MAY_HAVE_RUN
@@ -559,16 +564,16 @@
     def _finish(
         self, pending: PendingRequest, completion: calls.Completion
     ) -> None:
-        done = pending.done
+        done = pending.on_done
         if done is None:
             return
-        pending.done = None
+        pending.on_done = None
         pending.timer.cancel()
         if pending.leg:
             self._by_leg.pop(pending.leg, None)
         self._in_flight -= 1
         self._log(pending, completion)
-        self.observe(pending, completion)
+        self.on_finished(pending, completion)
         done(completion)
 
     def _log(
@@ -597,7 +602,7 @@
             verdict=completion.verdict.value,
             reason=reason.value if reason else "",
             status=completion.status,
-            ms=round((now - pending.begun) * 1000, 1),
+            ms=round((now - pending.received_at) * 1000, 1),
         )
 
 
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -35,7 +35,7 @@
 # Weight of a new sample in the moving average of the utilisation.
 _UTILISATION_WEIGHT = 0.05
 
-Reply = Callable[[calls.Completion], None]
+ReplyCallback = Callable[[calls.Completion], None]
 
 
 class Codec(msgspec.Struct, frozen=True):
@@ -64,18 +64,18 @@
             seconds.
         reply: Called once with the completion; None after that, or when the
             caller no longer waits.
-        begun: Monotonic time at which it was sent to the target, seconds; 0
+        sent_at: Monotonic time at which it was sent to the target, seconds; 0
             before that.
-        waiting: The call in the admission queue.
+        queued_call: The call in the admission queue.
         exchange: The HTTP exchange with the target.
     """
 
     dispatch: calls.Dispatch
     sender: str
     deadline: float
-    reply: Reply | None
-    begun: float = 0.0
-    waiting: admission.QueuedCall | None = None
+    reply: ReplyCallback | None
+    sent_at: float = 0.0
+    queued_call: admission.QueuedCall | None = None
     exchange: httppool.Exchange | None = None
 
 
@@ -118,7 +118,7 @@
         self._broken_runs: list[tuple[str, float, float]] = []
         # Called with the fingerprint of a request that a target has answered
         # after another one crashed while running it.
-        self.on_content_cleared: Callable[[str], None] = _ignore_fingerprint
+        self.on_fingerprint_cleared: Callable[[str], None] = _ignore_fingerprint
         self._admission = admission.AdmissionQueue()
         self._legs: dict[tuple[str, int], Leg] = {}
         self._instance = ""
@@ -131,7 +131,7 @@
         self.keyed = False
         # Called with the verdict and the duration in seconds of each call that
         # was sent to the target, for metrics.
-        self.observe: Callable[[types.Verdict, float], None] = _ignore
+        self.on_finished: Callable[[types.Verdict, float], None] = _ignore
         # Monotonic time of the target's last answer, seconds.
         self.last_answered_at = float("-inf")
         self._utilisation = 0.0
@@ -219,7 +219,7 @@
             self._admission.refuse_late(now)
 
     def submit(
-        self, dispatch: calls.Dispatch, sender: str, reply: Reply
+        self, dispatch: calls.Dispatch, sender: str, reply: ReplyCallback
     ) -> None:
         """Starts a call at the target, queues it or refuses it.
 
@@ -243,7 +243,7 @@
                 / _LOAD_UNIT_S
             )
             self._meter.count(self._slot(dispatch), now, amount)
-        leg.waiting = admission.QueuedCall(
+        leg.queued_call = admission.QueuedCall(
             dispatch.rank,
             dispatch.latency_objective,
             now + dispatch.objective_remaining,
@@ -251,7 +251,7 @@
             functools.partial(self._start, leg),
             functools.partial(self._refuse_queued, leg),
         )
-        self._admission.offer(leg.waiting, now)
+        self._admission.offer(leg.queued_call, now)
 
     def withdraw(self, sender: str, leg_id: int) -> None:
         """Cancels a leg whose caller no longer waits.
@@ -268,8 +268,8 @@
             return
         leg.reply = None
         if leg.exchange is None:
-            if leg.waiting is not None and self._admission.withdraw(
-                leg.waiting
+            if leg.queued_call is not None and self._admission.withdraw(
+                leg.queued_call
             ):
                 self._legs.pop((sender, leg_id), None)
         elif leg.dispatch.idempotent:
@@ -335,7 +335,7 @@
             self._refuse(leg, refusal)
             self._admission.finish(None, dispatch.latency_objective, now)
             return
-        leg.begun = now
+        leg.sent_at = now
         request_id = dispatch.call.request_id
         leg.exchange = self._pool.send(
             functools.partial(self._encode, leg, self._instance),
@@ -364,7 +364,7 @@
                 self.last_answered_at = now
                 completion = self._codec.decode_answer(leg.dispatch.leg, answer)
                 if completion.verdict is types.Verdict.ANSWERED:
-                    duration = now - leg.begun
+                    duration = now - leg.sent_at
                     if self._crash_history:
                         self._clear_fingerprint(leg)
                 elif completion.reason is types.Reason.TARGET_FULL:
@@ -376,7 +376,7 @@
             case _:
                 raise AssertionError(outcome)
         self._log(leg, completion, now)
-        self.observe(completion.verdict, now - leg.begun)
+        self.on_finished(completion.verdict, now - leg.sent_at)
         self._finish(leg, completion)
         self._admission.finish(duration, leg.dispatch.latency_objective, now)
 
@@ -409,12 +409,12 @@
         self._broken_runs = [
             run for run in self._broken_runs if run[2] >= since
         ]
-        self._broken_runs.append((_fingerprint(leg.dispatch), leg.begun, now))
+        self._broken_runs.append((_fingerprint(leg.dispatch), leg.sent_at, now))
 
     def _clear_fingerprint(self, leg: Leg) -> None:
         fingerprint = _fingerprint(leg.dispatch)
         if self._crash_history.clear(fingerprint):
-            self.on_content_cleared(fingerprint)
+            self.on_fingerprint_cleared(fingerprint)
 
     def _refuse_queued(self, leg: Leg, refusal: admission.Refusal) -> None:
         self._refuse(leg, types.Reason.QUEUE_FULL, refusal)
@@ -485,7 +485,7 @@
             verdict=completion.verdict.value,
             reason=reason.value if reason else "",
             status=completion.status,
-            ms=round((now - leg.begun) * 1000, 1) if leg.begun else 0,
+            ms=round((now - leg.sent_at) * 1000, 1) if leg.sent_at else 0,
             left_ms=round((leg.deadline - now) * 1000),
             **queue_state,
         )
--- a/tamarackgap/traffic/slotgrants.py
+++ b/tamarackgap/traffic/slotgrants.py
@@ -99,22 +99,22 @@
     """Holds the state of the grants of one range of slots.
 
     Attributes:
-        run: The range.
-        asked_until: End of the latest grant that was sent, monotonic seconds;
+        slot_range: The range.
+        requested_until: End of the latest grant that was sent, monotonic seconds;
             -inf makes the next one due at once.
-        ends: Latest end of all grants that were sent, answered or not.
+        ends_at: Latest end of all grants that were sent, answered or not.
         held_until: End of the latest acknowledged grant.
-        asking: Whether a grant is queued or waits for its answer.
+        is_pending: Whether a grant is queued or waits for its answer.
         superseded: Whether the target has seen a higher fence.
         unanswered: Number of grants under this fence that had no answer.
         confirmed: Whether a grant sent after those was acknowledged.
     """
 
-    run: slots.SlotRange
-    asked_until: float = float("-inf")
-    ends: float = float("-inf")
+    slot_range: slots.SlotRange
+    requested_until: float = float("-inf")
+    ends_at: float = float("-inf")
     held_until: float = float("-inf")
-    asking: bool = False
+    is_pending: bool = False
     superseded: bool = False
     unanswered: int = 0
     confirmed: bool = False
@@ -122,7 +122,7 @@
     @property
     def fence(self) -> int:
         """The fence that is sent to the target."""
-        return self.run.fence * FENCE_STEP + self.unanswered
+        return self.slot_range.fence * FENCE_STEP + self.unanswered
 
 
 class SlotGrants:
@@ -189,7 +189,7 @@
         been acknowledged.
         """
         state = self._by_slot.get(slot)
-        return state is not None and state.confirmed and not state.asking
+        return state is not None and state.confirmed and not state.is_pending
 
     def clear(self) -> None:
         """Forgets all grants; the next renewal grants each range again."""
@@ -204,7 +204,7 @@
             Seconds until all grants have expired.
         """
         self._paused = True
-        ends = [state.ends for state in self._by_range.values()]
+        ends = [state.ends_at for state in self._by_range.values()]
         return max(0.0, max(ends, default=0.0) - self._timers.now)
 
     def resume(self) -> None:
@@ -220,9 +220,9 @@
         """
         self._stopped = True
         unconfirmed = [
-            state.ends
+            state.ends_at
             for state in self._by_range.values()
-            if state.asking or not state.confirmed
+            if state.is_pending or not state.confirmed
         ]
         for state in self._by_range.values():
             state.held_until = float("-inf")
@@ -247,7 +247,7 @@
     def renew_soon(self) -> None:
         """Makes all grants due, after the target refused a call for its key."""
         for state in self._by_range.values():
-            state.asked_until = float("-inf")
+            state.requested_until = float("-inf")
 
     def renew(self) -> None:
         """Sends the grants that are due for renewal."""
@@ -260,8 +260,8 @@
         if self._hold_time(until) < _MIN_HOLD_S:
             return
         for state in self._by_range.values():
-            is_due = until - state.asked_until >= self._renewal_step
-            if is_due and not state.asking and not state.superseded:
+            is_due = until - state.requested_until >= self._renewal_step
+            if is_due and not state.is_pending and not state.superseded:
                 self._queue_grant(state, until)
 
     def _hold_time(self, until: float) -> float:
@@ -314,7 +314,7 @@
             return
         # A grant whose release is not acknowledged expires on its own when its
         # hold time ends.
-        ends = max(self._by_slot[slot].ends for slot in held)
+        ends = max(self._by_slot[slot].ends_at for slot in held)
         handovers: dict[slots.SlotRange, str] = {}
         self._pending_releases += len(ranges)
         for slot_range in ranges:
@@ -387,7 +387,7 @@
         }
         previous_by_slot = self._by_slot
         for state in self._by_range.values():
-            if state.asking:
+            if state.is_pending:
                 # The pending answer is not counted for the new ranges, so the
                 # grant counts as unanswered.
                 self._record_unanswered(state)
@@ -402,16 +402,19 @@
                 slot_range, unanswered=self._unanswered_count(slot_range)
             )
             if all(
-                previous is not None and previous.run.fence == slot_range.fence
+                previous is not None
+                and previous.slot_range.fence == slot_range.fence
                 for previous in previous_states
             ):
                 state.held_until = min(
                     previous.held_until for previous in previous_states
                 )
-                state.asked_until = min(
-                    previous.asked_until for previous in previous_states
+                state.requested_until = min(
+                    previous.requested_until for previous in previous_states
+                )
+                state.ends_at = max(
+                    previous.ends_at for previous in previous_states
                 )
-                state.ends = max(previous.ends for previous in previous_states)
                 state.superseded = any(
                     previous.superseded for previous in previous_states
                 )
@@ -435,12 +438,12 @@
     def _record_unanswered(self, state: _RangeState) -> None:
         state.confirmed = False
         state.unanswered = min(state.unanswered + 1, FENCE_STEP - 1)
-        slot_range = state.run
+        slot_range = state.slot_range
         for slot in range(slot_range.first, slot_range.last + 1):
             self._unanswered_counts[slot] = (slot_range.fence, state.unanswered)
 
     def _queue_grant(self, state: _RangeState, until: float) -> None:
-        state.asking = True
+        state.is_pending = True
         self._grant_queue.append(lambda: self._send_grant(state, until))
         self._send_queued()
 
@@ -452,7 +455,7 @@
     def _send_grant(self, state: _RangeState, until: float) -> None:
         # The grant has waited in the queue, so less of the lease is left.
         hold_s = self._hold_time(until)
-        slot_range = state.run
+        slot_range = state.slot_range
         is_releasing = any(
             slot in self._releasing
             for slot in range(slot_range.first, slot_range.last + 1)
@@ -463,19 +466,19 @@
             or self._by_range.get(slot_range) is not state
             or hold_s < _MIN_HOLD_S
         ):
-            state.asking = False
+            state.is_pending = False
             self._pending_grants -= 1
             self._send_queued()
             return
-        state.asked_until = until
-        state.ends = max(state.ends, until)
+        state.requested_until = until
+        state.ends_at = max(state.ends_at, until)
         first, last = slots.position_range(slot_range, self._slot_count())
         grant = Grant(
             first, last, state.fence, hold_s, slot_range.handover, until
         )
 
         def handle_result(result: OrderResult) -> None:
-            state.asking = False
+            state.is_pending = False
             self._pending_grants -= 1
             self._send_queued()
             if result.acknowledged:
@@ -486,7 +489,7 @@
                 return
             if self._by_range.get(slot_range) is state:
                 self._record_unanswered(state)
-            state.asked_until = float("-inf")
+            state.requested_until = float("-inf")
             state.superseded = result.superseded
             logs.event(
                 "grant_failed",
--- a/tamarackgap/traffic/targets.py
+++ b/tamarackgap/traffic/targets.py
@@ -72,7 +72,7 @@
         candidate.accepting = status.accepting
         candidate.data_centre = status.data_centre
         candidate.process = status.process
-        candidate.interval = status.interval
+        candidate.status_interval = status.interval
         candidate.capacity = status.capacity
         candidate.relative_latency = status.relative_latency
         self._set_load(candidate, status.running + status.waiting)
@@ -92,7 +92,7 @@
         self._remove_address(incarnation)
         logs.event("daemon_dropped", incarnation=incarnation)
 
-    def is_heard(self, incarnation: str) -> bool:
+    def is_reachable(self, incarnation: str) -> bool:
         """Returns whether a daemon has reported recently."""
         candidate = self._candidates.get(incarnation)
         return candidate is not None and not self.is_silent(candidate)
--- a/tests/ownership/test_loads.py
+++ b/tests/ownership/test_loads.py
@@ -3,11 +3,11 @@
 
 def test_old_loads_are_dropped():
     member_loads = loads.Loads()
-    member_loads.note("a", 5.0, 0.0)
-    member_loads.note("b", 6.0, 4.0)
+    member_loads.record("a", 5.0, 0.0)
+    member_loads.record("b", 6.0, 4.0)
     assert member_loads.fresh(5.0) == {"a": 5.0, "b": 6.0}
     assert member_loads.fresh(8.0) == {"b": 6.0}
-    member_loads.note("b", None, 8.0)
+    member_loads.record("b", None, 8.0)
     assert member_loads.fresh(8.0) == {}
 
 
--- a/tests/ownership/test_takeover.py
+++ b/tests/ownership/test_takeover.py
@@ -40,7 +40,7 @@
     record_answer(attempt, "x", STATE.SEALED, 0.9)
     record_answer(attempt, "y", STATE.SEALED, 0.8)
     assert attempt.mode() is takeover.Mode.SEALED
-    assert attempt.over_at() == pytest.approx(10.0 + 1.1 - 0.8 + 0.25)
+    assert attempt.lease_end() == pytest.approx(10.0 + 1.1 - 0.8 + 0.25)
 
 
 def test_the_majority_that_expires_first_counts():
@@ -48,7 +48,7 @@
     record_answer(attempt, "x", STATE.SEALED, 0.9)
     record_answer(attempt, "y", STATE.SEALED, 0.8)
     record_answer(attempt, "z", STATE.SEALED, 0.85)
-    assert attempt.over_at() == pytest.approx(10.0 + 1.1 - 0.85)
+    assert attempt.lease_end() == pytest.approx(10.0 + 1.1 - 0.85)
 
 
 def test_a_retired_epoch_ends_only_by_the_table():
@@ -70,7 +70,7 @@
     attempt = make_attempt()
     for name in "xy":
         record_answer(attempt, name, STATE.SEALED, -1.0)
-    assert attempt.over_at() == 10.0
+    assert attempt.lease_end() == 10.0
 
 
 def test_answers_of_other_daemons_do_not_count():
--- a/tests/peers/test_transport.py
+++ b/tests/peers/test_transport.py
@@ -24,7 +24,7 @@
 @pytest.fixture
 def three_peers():
     """Yields the transport, address and received envelopes of three peers."""
-    base = ports.free_ports(3, 26_500)
+    base = ports.find_free_ports(3, 26_500)
     peers = []
     for index in range(3):
         received = []
--- a/tests/placement/test_records.py
+++ b/tests/placement/test_records.py
@@ -52,10 +52,13 @@
 def test_members_are_the_open_records():
     view = records.TableView()
     view.merge([lease_row("b", 1), lease_row("a", 2)])
-    assert [record.incarnation for record in view.members("s")] == ["a", "b"]
-    view.members().clear()
+    assert [record.incarnation for record in view.open_records("s")] == [
+        "a",
+        "b",
+    ]
+    view.open_records().clear()
     closed = lease_row("a", 3, state=types.RecordState.CLOSED)
     view.merge([closed])
-    assert [record.incarnation for record in view.members()] == ["b"]
+    assert [record.incarnation for record in view.open_records()] == ["b"]
     view.merge([records.Row("lease/b", None, 4)])
-    assert view.members("s") == []
+    assert view.open_records("s") == []
--- a/tests/processes/test_peersync.py
+++ b/tests/processes/test_peersync.py
@@ -13,7 +13,9 @@
 def test_a_daemon_is_not_silent_after_two_intervals(daemons):
     interval = peersync.status_interval(daemons)
     assert interval >= 0.25
-    candidate = balancer.Candidate("a", last_heard=0.0, interval=interval)
+    candidate = balancer.Candidate(
+        "a", last_heard=0.0, status_interval=interval
+    )
     assert not candidate.is_silent(2 * interval)
 
 
--- a/tests/support/clusters.py
+++ b/tests/support/clusters.py
@@ -41,7 +41,7 @@
     running = cluster.Cluster(
         SMALL_DEPLOYMENT,
         folder,
-        ports.free_ports(32),
+        ports.find_free_ports(32),
         work_ms=2.0,
         overrides=overrides,
     )
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -277,7 +277,8 @@
                     continue
                 message = messages.decode(frame).message
                 if not (
-                    other.table_isolated and isinstance(message, messages.Rows)
+                    other.table_isolated
+                    and isinstance(message, messages.RowUpdates)
                 ):
                     other.inbox.append(frame)
 
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -155,7 +155,7 @@
         if sealed:
             # The model also lets the successor's clock gain up to the drift.
             # Here it gains nothing, so the daemon must wait until age `OLD`.
-            ended = self.now >= self.takeover.over_at()
+            ended = self.now >= self.takeover.lease_end()
             replied = [model for model in self.model if model.reply == "s"]
             waited = (
                 sum(model.estimated_age >= spec_lib.OLD for model in replied)
--- a/tests/traffic/test_targets.py
+++ b/tests/traffic/test_targets.py
@@ -51,7 +51,7 @@
     assert after is before
     assert after.incarnation == "b"
     assert not after.accepting
-    assert not directory.is_heard("a")
+    assert not directory.is_reachable("a")
     # A late status of the earlier incarnation does not restore it for good.
     directory.update_status("a", "x:1", status())
     assert directory.update_status("b", "x:1", status()) in ([], ["a"])
@@ -89,9 +89,9 @@
 def test_silent_daemon_expires(subject):
     timers, directory = subject
     directory.update_status("a", "x:1", status())
-    assert directory.is_heard("a")
+    assert directory.is_reachable("a")
     timers.now += balancer.SILENCE_TIMEOUT_S
-    assert not directory.is_heard("a")
+    assert not directory.is_reachable("a")
     assert directory.expired() == []
     timers.now += 10 * balancer.SILENCE_TIMEOUT_S
     assert directory.expired() == ["a"]
@@ -103,10 +103,10 @@
     timers, directory = subject
     directory.update_status("a", "x:1", status(interval=1.0))
     timers.now += 2 * 1.0
-    assert directory.is_heard("a")
+    assert directory.is_reachable("a")
     assert next(directory.of_service("s")).is_usable(timers.now)
     timers.now += 1.0
-    assert not directory.is_heard("a")
+    assert not directory.is_reachable("a")
     assert not next(directory.of_service("s")).is_usable(timers.now)
 
 
