--- a/tamarackgap/ownership/liveness.py
+++ b/tamarackgap/ownership/liveness.py
@@ -21,17 +21,17 @@
     def unreachable_durations(
         self,
         view: records.TableView,
-        own: str,
+        own_incarnation: str,
         is_reachable: Callable[[str], bool],
         now: float,
     ) -> dict[str, float]:
-        """Returns how long each owner has been unreachable, seconds.
+        """Returns how long owners have been unreachable, seconds.
 
         Args:
             view: This daemon's copy of the table.
-            own: This daemon's incarnation, which is left out.
-            is_reachable: Returns whether an incarnation has sent a message
-                recently.
+            own_incarnation: This daemon's incarnation, which is left out.
+            is_reachable: Tells whether an incarnation has been heard from
+                lately.
             now: Monotonic time, seconds.
 
         Returns:
@@ -43,7 +43,7 @@
             )
             for record in view.leases()
             if record.is_open
-            and record.incarnation != own
+            and record.incarnation != own_incarnation
             and not is_reachable(record.incarnation)
         }
         return {
--- a/tamarackgap/ownership/witness.py
+++ b/tamarackgap/ownership/witness.py
@@ -154,7 +154,7 @@
             entry.released = True
 
     def suspicions(self, now: types.Seconds) -> list[Suspicion]:
-        """Returns the epochs whose last grant is old or was given up.
+        """Returns epochs whose last grant is old or whose owner gave them up.
 
         Both latest epochs of an owner are listed. Only the table tells which
         of them is in use: the later one may have been prepared and never
