--- a/tamarackgap/platform/requests.py
+++ b/tamarackgap/platform/requests.py
@@ -73,7 +73,9 @@
             timeout = int(value) / 1000
         elif name == names.SHARD_KEY:
             if not value.isdigit() or int(value) >= slots.POSITION_COUNT:
-                return result.Failure(f"shard key {value!r} is not in range")
+                return result.Failure(
+                    f"shard key {value!r} is not an integer from 0 to 65535"
+                )
             position = int(value)
         if (
             name not in _HEADERS_NOT_PASSED_ON
@@ -175,7 +177,8 @@
 def _is_full(answer: httppool.Answer) -> bool:
     """Returns whether a server that refused a request had no free slot.
 
-    A server that doesn't report its load counts as full.
+    A server with waiting requests, or without a valid report of its load,
+    counts as full.
     """
     load = answer.header(names.SERVER_LOAD)
     numbers = (load or b"").split(b",")
--- a/tamarackgap/platform/store.py
+++ b/tamarackgap/platform/store.py
@@ -50,7 +50,7 @@
     has_more: bool = False
 
 
-class _Expected(msgspec.Struct):
+class _Condition(msgspec.Struct):
     table: str
     part: str
     key: str
@@ -58,7 +58,7 @@
     ver: int
 
 
-class _Put(msgspec.Struct):
+class _RowWrite(msgspec.Struct):
     table: str
     part: str
     key: str
@@ -66,7 +66,7 @@
     value: str
 
 
-class _Key(msgspec.Struct):
+class _RowKey(msgspec.Struct):
     table: str
     part: str
     key: str
@@ -74,9 +74,9 @@
 
 class _Transaction(msgspec.Struct):
     # A list of conditions, despite its name.
-    expected_revision: list[_Expected]
-    put: list[_Put]
-    remove: list[_Key]
+    expected_revision: list[_Condition]
+    put: list[_RowWrite]
+    remove: list[_RowKey]
 
 
 # Called with rows, the revision up to which they are complete, and the time on
@@ -104,14 +104,14 @@
         )
         self._call_counts: dict[str, int] = {}
         self._own_watch: _TableWatch | None = None
-        # Least difference seen between this clock and the store's, seconds.
+        # Least value seen of this process's clock minus the store's, seconds.
         self._clock_offset_s = float("inf")
 
     def to_local_clock(self, store_ms: int) -> float:
         """Returns a time of the store on this process's clock, seconds.
 
-        The difference of the clocks is the least one seen so far, that of the
-        fastest answer: a slow answer only makes it look larger.
+        Uses the least difference between the clocks seen so far, since the time
+        that an answer takes adds to the difference measured with it.
 
         Args:
             store_ms: Time on the store's clock, milliseconds.
@@ -136,7 +136,7 @@
         self._own_watch = _TableWatch(
             self, names.OWN_TABLE, _INITIAL_PAUSE_S, rows, failed
         )
-        self._own_watch.begin()
+        self._own_watch.read()
 
     def skip_pause(self) -> None:
         """Reads changes of this system's rows without the pause."""
@@ -148,7 +148,7 @@
 
         Args:
             pause: Time from reading changes until the next poll, seconds. The
-                poll that follows a pause is shorter by it.
+                poll after a pause is shorter by the length of the pause.
         """
         if self._own_watch is not None:
             self._own_watch.pause = min(pause, _LONG_POLL_S)
@@ -180,7 +180,7 @@
             handle_rows,
             lambda problem: None,
         )
-        watch.begin()
+        watch.read()
 
     def commit(
         self,
@@ -196,16 +196,18 @@
         """
         body = _Transaction(
             [
-                _Expected(names.OWN_TABLE, "", check.key, check.revision)
+                _Condition(names.OWN_TABLE, "", check.key, check.revision)
                 for check in transaction.checks
             ],
             [
-                _Put(names.OWN_TABLE, "", write.key, _encode_value(write.value))
+                _RowWrite(
+                    names.OWN_TABLE, "", write.key, _encode_value(write.value)
+                )
                 for write in transaction.writes
                 if write.value is not None
             ],
             [
-                _Key(names.OWN_TABLE, "", write.key)
+                _RowKey(names.OWN_TABLE, "", write.key)
                 for write in transaction.writes
                 if write.value is None
             ],
@@ -281,8 +283,8 @@
         self._next_pause_s = 0.0
         self._on_rows = on_rows
         self._on_failure = on_failure
-        # All changes up to this revision have been read; None asks for a read
-        # of the whole table.
+        # All changes up to this revision have been read; None if the whole
+        # table must be read.
         self._revision: int | None = None
         self._known_keys: set[str] = set()
         self._rows_so_far: list[records.Row] = []
@@ -299,16 +301,16 @@
         elif not self._is_failing:
             self._pause_timer.cancel()
             self._next_pause_s = 0.0
-            self.begin()
+            self.read()
 
-    def begin(self) -> None:
-        """Makes the next call."""
+    def read(self) -> None:
+        """Starts to read the whole table, or polls for its next changes."""
         self._pause_timer = None
         if self._revision is None:
             self._read_page("")
             return
-        # A poll after a pause is shorter by it: owners rely on having read the
-        # table at least once in each `_LONG_POLL_S`.
+        # A poll after a pause is shorter by the length of the pause: owners
+        # rely on having read the table at least once in each `_LONG_POLL_S`.
         wait = _LONG_POLL_S - self._next_pause_s
         self._next_pause_s = 0.0
         wait_ms = round(wait * 1000)
@@ -334,6 +336,8 @@
         timeout: float,
         handle_answer: Callable[[httppool.Answer], bool],
     ) -> None:
+        """Makes a call; `handle_answer` returns False for an invalid answer."""
+
         def handle_outcome(
             outcome: result.Result[httppool.Answer, exchanges.Failure],
         ) -> None:
@@ -355,7 +359,7 @@
         self._retry_pause_s = min(self._retry_pause_s * 2, _MAX_RETRY_PAUSE_S)
 
     def _schedule(self, pause: float) -> None:
-        self._pause_timer = self._store.timers.after(pause, self.begin)
+        self._pause_timer = self._store.timers.after(pause, self.read)
 
     def _handle_success(self) -> None:
         self._retry_pause_s = _MIN_RETRY_PAUSE_S
@@ -369,7 +373,7 @@
             return False
         self._rows_so_far += _decode_rows(page)
         if page.has_more and self._rows_so_far:
-            # A range includes its first key: start just after the last one.
+            # `from` is inclusive: the next page starts just after the last key.
             self._read_page(self._rows_so_far[-1].key + "\0")
             return True
         self._handle_success()
--- a/tamarackgap/processes/daemon.py
+++ b/tamarackgap/processes/daemon.py
@@ -159,8 +159,8 @@
         self._started_at = clock()
         self._drain_deadline: float | None = None
         self._stopped = False
-        self._last_turn_at = clock()
-        self._longest_turn_s = 0.0
+        self._last_iteration_at = clock()
+        self._longest_iteration_s = 0.0
         self._start_periodic_work()
 
     def _is_slot_busy(self, slot: int) -> bool:
@@ -176,7 +176,7 @@
             http=settings.daemon_http_address,
             peers=settings.daemon_peer_address,
         )
-        self._timers.each_iteration(self._measure_turn)
+        self._timers.each_iteration(self._measure_iteration)
         self._timers.every(_TICK_INTERVAL_S, self._tick)
         self._timers.every(_LIMITS_INTERVAL_S, self._apply_limits)
         self._timers.every(_GAUGES_INTERVAL_S, self._set_gauges)
@@ -185,12 +185,12 @@
 
     # Periodic work.
 
-    def _measure_turn(self) -> None:
+    def _measure_iteration(self) -> None:
         now = time.monotonic()
-        self._longest_turn_s = max(
-            self._longest_turn_s, now - self._last_turn_at
+        self._longest_iteration_s = max(
+            self._longest_iteration_s, now - self._last_iteration_at
         )
-        self._last_turn_at = now
+        self._last_iteration_at = now
 
     def _tick(self) -> None:
         now = time.monotonic()
@@ -381,7 +381,7 @@
             "peer_messages_dropped": self._transport.dropped_messages,
             "peer_frames_malformed": self._transport.malformed_frames,
             "renewal_lateness_seconds": self._core.renewal_lateness,
-            "loop_pause_seconds": self._longest_turn_s,
+            "loop_pause_seconds": self._longest_iteration_s,
         }
         for name, value in values.items():
             self._metrics.set_gauge(name, value)
@@ -399,7 +399,8 @@
     """
     logs.start(settings.daemon_log, settings.daemon_name)
     daemon = Daemon(settings)
-    # These objects live as long as the process: collections can skip them.
+    # These objects live as long as the process: garbage collections can
+    # skip them.
     gc.collect()
     gc.freeze()
     daemon.run()
--- a/tamarackgap/processes/peersync.py
+++ b/tamarackgap/processes/peersync.py
@@ -9,18 +9,18 @@
 from tamarackgap.traffic import crashes, dispatcher, routetable, runner
 
 # The time between two status messages to all other daemons grows with their
-# number, so that a daemon sends at most a hundred of them a second. Daemons
-# learn the load of targets from completions as well: with 75 daemons, an
-# interval of 1 s met the latency objective as often as one of 0.5 s
+# number, so that among up to 100 daemons each sends at most a hundred of them a
+# second. Daemons learn the load of targets from completions as well: with 75
+# daemons, an interval of 1 s met the latency objective as often as one of 0.5 s
 # (`make bench`, loads).
 _MIN_STATUS_INTERVAL_S = 0.25
 _STATUS_INTERVAL_PER_DAEMON_S = 0.01
 _MAX_STATUS_INTERVAL_S = 1.0
-# Daemons send their writes to each other at once; only lost messages have to be
-# read from the table, after this pause. Each change of the table ends the long
-# polls of all daemons, so the pause grows with their number to bound the reads
-# of all of them. It stays short compared to the time for which an owner may go
-# without reading the table.
+# Daemons send their writes to each other at once. Only writes whose messages
+# were lost have to be read from the table, after this pause. Each change of the
+# table ends the long polls of all daemons, so the pause grows with their number
+# to bound the reads of all of them. It stays short compared to the time for
+# which an owner may go without reading the table.
 _MIN_READ_PAUSE_S = 1.0
 _READ_PAUSE_PER_DAEMON_S = 0.05
 _MAX_READ_PAUSE_S = 4.0
@@ -60,10 +60,10 @@
         timers: scheduler.Scheduler,
         route_table: Callable[[], routetable.RouteTable | None],
     ) -> None:
-        """Creates a sync that has sent nothing, and schedules its broadcasts.
+        """Creates an instance that has sent nothing, and schedules broadcasts.
 
         Args:
-            core: Knows the other daemons.
+            core: Holds the table's records of all daemons.
             peer_transport: Sends messages to them.
             call_runner: Runs calls at the local target.
             request_dispatcher: Gets the status of all targets, including the
@@ -132,7 +132,8 @@
     def update_new_daemons(self) -> None:
         """Sends the local target's status to daemons that have just joined.
 
-        They have callers already, and know of no target but their own.
+        They already have callers, but the status of no target except their
+        own.
         """
         if self._core.view.version == self._informed_version:
             return
@@ -154,8 +155,8 @@
         now = self._timers.now
         crash = calls.TargetCrash(
             {
-                fingerprint: (now - started, now - end)
-                for fingerprint, started, end in crashed_runs
+                fingerprint: (now - started_at, now - ended_at)
+                for fingerprint, started_at, ended_at in crashed_runs
             }
         )
         logs.event("target_crashed", contents=len(crash.fingerprints))
@@ -163,7 +164,7 @@
         self._broadcast(crash)
 
     def broadcast_cleared(self, fingerprint: str) -> None:
-        """Tells all daemons that a request from a crash has been answered."""
+        """Tells all daemons that a request of an earlier crash was answered."""
         self._broadcast(calls.FingerprintCleared(fingerprint))
 
     def _broadcast_periodically(self) -> None:
@@ -189,16 +190,19 @@
 
     def _record_crash(self, crash: calls.TargetCrash) -> None:
         now = self._timers.now
-        for fingerprint, (started, ended) in crash.fingerprints.items():
+        for fingerprint, (start_age, end_age) in crash.fingerprints.items():
             if self._crash_history.record(
-                fingerprint, now - started, now - ended
+                fingerprint, now - start_age, now - end_age
             ):
                 logs.event(
                     "content_barred", content=fingerprint, s=crashes.BAR_TIME_S
                 )
 
     def _request_table_if_newer(self, version: int, address: str) -> None:
-        """Requests a newer route table: the store may be unreachable here."""
+        """Requests a peer's route table if it is newer than this daemon's.
+
+        This daemon may be unable to read it from the store.
+        """
         table = self._route_table()
         current = table.version if table is not None else 0
         now = self._timers.now
@@ -215,7 +219,7 @@
         addresses = {
             record.peer_address for record in self._core.view.open_records()
         }
-        # Daemons that have left their lease still have callers.
+        # Daemons without an open lease record may still have callers.
         addresses |= self._dispatcher.addresses()
         self._transport.send_all(
             self._core.incarnation, addresses - {own}, message
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -43,7 +43,7 @@
 _TICK_INTERVAL_S = 0.05
 _REFUSE_LATE_INTERVAL_S = 0.02
 _LOAD_REPORT_INTERVAL_S = 0.5
-# The busiest keys change within seconds.
+# Short, because the busiest keys change within seconds.
 _LOAD_HALF_LIFE_S = 2.0
 _LOAD_WARMUP_S = 1.0
 _MIN_TOLERANCE_PERCENT = 15
@@ -138,16 +138,16 @@
             _ownership_settings(settings), self._rng, self._is_pinned, now()
         )
         self._core.keyed = False
-        self._call_link = httppool.ConnectionPool(
+        self._call_pool = httppool.ConnectionPool(
             self.poller,
             self.timers,
             settings.router_target_address,
             _TARGET_IDLE_TIMEOUT_S,
             _TARGET_UNACKED_TIMEOUT_MS,
         )
-        # Orders have a link of their own, so that they don't wait for calls.
+        # Orders have a pool of their own, so that they don't wait for calls.
         # They need few of the target's connections.
-        self._order_link = httppool.ConnectionPool(
+        self._order_pool = httppool.ConnectionPool(
             self.poller,
             self.timers,
             settings.router_target_address,
@@ -177,7 +177,7 @@
             self._service,
             self._core,
             self._slot_grants,
-            self._call_link,
+            self._call_pool,
             platform_adapter.codec,
             self.timers,
             self._handle_connection_refused,
@@ -345,16 +345,17 @@
                 self._release_lease("target-gone")
             case localtarget.Transition.SILENT:
                 self._runner.detach()
-                # It may still run, and serve its slots until its holds end.
+                # The target may still run, and serve its slots until its
+                # holds expire.
                 self.timers.after(
                     self._slot_grants.pause(), self._release_lease_if_absent
                 )
         self._peer_sync.broadcast_status()
 
     def _release_without_table(self, current_time: float) -> None:
-        """Releases the lease where slots don't move through the table.
+        """Releases the lease if slots have not moved through the table in time.
 
-        Their successors need only the witnesses to take over then.
+        Successors then take over with the witnesses alone, without the table.
         """
         if (
             current_time < self._release_at
@@ -376,8 +377,8 @@
         released only after that.
         """
         uncertain_s = self._slot_grants.stop()
-        self._call_link.close()
-        self._order_link.close()
+        self._call_pool.close()
+        self._order_pool.close()
         if not uncertain_s:
             self._release_lease("target-started-anew")
             return
@@ -437,7 +438,7 @@
                 return b""
             return self._adapter.encode_order(current)
 
-        self._order_link.send(encode, timeout, handle_outcome)
+        self._order_pool.send(encode, timeout, handle_outcome)
 
     # The store.
 
@@ -577,7 +578,8 @@
                     else:
                         self._slot_releaser.end()
                 case effects.ReadTable(urgent=urgent):
-                    # Otherwise the long poll reads it, after its pause at most.
+                    # A read that is not urgent is left to the next long poll,
+                    # which starts after the store's pause at most.
                     if urgent:
                         self._adapter.store.skip_pause()
         self._slot_grants.renew()
@@ -658,8 +660,8 @@
         )
         self._caller_server.draining = True
         self._core.drain()
-        # The target may keep running, and other daemons can use its capacity
-        # until then.
+        # The target may keep running, so other daemons may use its capacity
+        # until this daemon stops accepting calls.
         self.timers.after(
             _DRAIN_LISTEN_S - _STOP_CALLS_BEFORE_CLOSE_S,
             self._stop_accepting_calls,
@@ -751,7 +753,8 @@
 
 def run(router: Router) -> None:
     """Runs a router until it has drained after SIGTERM."""
-    # These objects live as long as the process: collections can skip them.
+    # These objects live as long as the process: garbage collections can
+    # skip them.
     gc.collect()
     gc.freeze()
     router.run()
--- a/tamarackgap/processes/routerpages.py
+++ b/tamarackgap/processes/routerpages.py
@@ -171,7 +171,9 @@
     service = query["service"]
     position = int(query["key"])
     if not 0 <= position < slots.POSITION_COUNT:
-        raise ValueError(f"key {position} is not below {slots.POSITION_COUNT}")
+        raise ValueError(
+            f"key {position} is negative or not below {slots.POSITION_COUNT}"
+        )
     slot = slots.slot_of_position(
         position, reports.slot_count(sources.core, service)
     )
--- a/tests/platform/test_operations.py
+++ b/tests/platform/test_operations.py
@@ -50,7 +50,7 @@
     return lines
 
 
-def _logged(cluster, event, **fields):
+def _wait_for_lines(cluster, event, **fields):
     """Waits for log lines of an event, and returns their fields."""
     assert platformcluster.wait_until(
         LOG_WAIT_S, lambda: _lines(cluster, event, **fields)
@@ -84,10 +84,10 @@
     refused = [answer for answer in answers if answer[0] == 503]
     assert refused
     request = refused[-1][3]
-    (line, *_) = _logged(cluster, "request", request=request)
+    (line, *_) = _wait_for_lines(cluster, "request", request=request)
     assert line["reason"] in _reasons("Refused as full")
     assert line["verdict"] == "not-run"
-    (call, *_) = _logged(cluster, "call", request=request)
+    (call, *_) = _wait_for_lines(cluster, "call", request=request)
     assert call["daemon"] == "north"
     assert int(call["running"]) >= 8
     assert int(call["waiting"]) > 0
@@ -107,9 +107,9 @@
     finally:
         owner.server.fault = ""
     assert response[0] == 502
-    (line, *_) = _logged(cluster, "request", request=response[3])
+    (line, *_) = _wait_for_lines(cluster, "request", request=response[3])
     assert line["verdict"] == "may-have-run"
-    (call, *_) = _logged(cluster, "call", request=response[3])
+    (call, *_) = _wait_for_lines(cluster, "call", request=response[3])
     assert call["daemon"] == owner.name
     assert call["reason"] in _reasons(title)
     # A single answer failed; the target is still running.
@@ -118,17 +118,17 @@
     )
 
 
-def _run(*words):
+def _run_command(*words):
     invocation = testing.CliRunner().invoke(cmdline.cli, [*words, "--json"])
     return invocation.exit_code, json.loads(invocation.stdout or "null")
 
 
 def test_operator_commands_work_on_routers(cluster):
     vm = next(vm for vm in cluster.vms if vm.server.holds(30_000))
-    code, status = _run("status", "--daemon", vm.metrics_address)
+    code, status = _run_command("status", "--daemon", vm.metrics_address)
     assert code == 0
     assert (status["daemon"], status["phase"]) == (vm.name, "serving")
-    code, explanation = _run(
+    code, explanation = _run_command(
         "explain",
         "30000",
         "--daemon",
@@ -139,11 +139,11 @@
     assert code == 0
     assert (explanation["daemon"], explanation["here"]) == (vm.name, True)
     other = cluster.vms[0].metrics_address
-    explanation = _run(
+    explanation = _run_command(
         "explain", "30000", "--daemon", other, "--service", "money"
     )[1]
     assert (explanation["daemon"], explanation["here"]) == (vm.name, False)
-    code, rows = _run("owners", "--daemon", other, "--service", "money")
+    code, rows = _run_command("owners", "--daemon", other, "--service", "money")
     assert code == 0
     owned = {row["daemon"]: row["slots"] for row in rows if row["slots"]}
     assert sum(owned.values()) == 32
@@ -177,15 +177,17 @@
     )
     try:
         assert response[0] in (502, 503, 504)
-        (line, *_) = _logged(cluster, "request", request=response[3])
+        (line, *_) = _wait_for_lines(cluster, "request", request=response[3])
         assert line["reason"] in _reasons(title)
         lost_owner = line["owner"]
         # The log line of the owner's start names its daemon.
-        (start, *_) = _logged(cluster, "started", incarnation=lost_owner)
+        (start, *_) = _wait_for_lines(
+            cluster, "started", incarnation=lost_owner
+        )
         assert start["daemon"] == owner.name
         assert {"takeover_begun", "taken_over"} <= _reasons(title)
-        _logged(cluster, "takeover_begun", owner=lost_owner)
-        takeovers = _logged(cluster, "taken_over", owner=lost_owner)
+        _wait_for_lines(cluster, "takeover_begun", owner=lost_owner)
+        takeovers = _wait_for_lines(cluster, "taken_over", owner=lost_owner)
         assert {takeover["daemon"] for takeover in takeovers} <= {
             vm.name for vm in cluster.vms if vm.keyed
         }
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -17,7 +17,7 @@
 DRAIN_LISTEN_S = 2.6
 # An announcement reaches all daemons within this time.
 ANNOUNCEMENT_DELAY_S = 1.0
-# Calls in progress at a daemon that drains.
+# Concurrent calls to two targets, one of whose daemons drains.
 CALL_COUNT = 12
 # A draining server gets no more requests after this time.
 SERVER_DRAIN_S = 2.0
@@ -129,18 +129,18 @@
 
 
 def test_a_longer_prefix_and_a_later_version_win(cluster):
-    more = platformcluster.route(
+    longer_route = platformcluster.route(
         "vip", "seats.example", "/browse/vip/", "money"
     )
     cluster.store.put(
         "op",
         "config",
         platformcluster.configuration(
-            9, *platformcluster.DEFAULT_RESOURCES, more
+            9, *platformcluster.DEFAULT_RESOURCES, longer_route
         ),
     )
 
-    def moved():
+    def is_in_force():
         return all(
             platformcluster.send_caller_request(
                 vm, "seats.example", "/browse/vip/x", key=1
@@ -156,7 +156,7 @@
         runs = _runs(cluster, request)
         return bool(runs) and runs[0][1] == 1
 
-    assert platformcluster.wait_until(2, moved)
+    assert platformcluster.wait_until(2, is_in_force)
     # An older version changes nothing.
     cluster.store.put("op", "config", platformcluster.configuration(3))
     assert (
--- a/tests/processes/test_daemon.py
+++ b/tests/processes/test_daemon.py
@@ -37,12 +37,12 @@
 
 
 def test_any_daemon_answers_for_any_key(live_cluster):
-    for index, place in enumerate(live_cluster.vms):
+    for index, vm in enumerate(live_cluster.vms):
         for service in ("seats", "payments"):
             key = f"hall {index} ghế"
             path = f"/v1/{service}/x?key=" + "hall%20{}%20gh%E1%BA%BF"
             status, verdict, data = callers.send_request(
-                place, "GET", path.format(index)
+                vm, "GET", path.format(index)
             )
             assert (status, verdict) == (200, "answered")
             answer = json.loads(data)
@@ -52,10 +52,10 @@
 
 def test_all_daemons_send_a_key_to_the_same_target(live_cluster):
     targets = {
-        json.loads(
-            callers.send_request(place, "GET", "/v1/seats/x?key=one")[2]
-        )["target"]
-        for place in live_cluster.vms
+        json.loads(callers.send_request(vm, "GET", "/v1/seats/x?key=one")[2])[
+            "target"
+        ]
+        for vm in live_cluster.vms
     }
     assert len(targets) == 1
 
@@ -65,14 +65,14 @@
     path = "/v1/payments/pay?key=family-1"
     first, second = (
         callers.send_request(
-            live_cluster.vms[entry],
+            live_cluster.vms[vm_index],
             "POST",
             path,
             b"fee",
             X_Request_Id=request,
             X_Attempt=attempt,
         )
-        for entry, attempt in ((0, "1"), (4, "2"))
+        for vm_index, attempt in ((0, "1"), (4, "2"))
     )
     assert first[:2] == (200, "answered")
     assert second == first
@@ -136,12 +136,12 @@
 
 @pytest.mark.parametrize("frame", [b"", b"\xc1 nonsense", b"\x94" * 50])
 def test_malformed_peer_frames_are_logged_and_dropped(live_cluster, frame):
-    place = live_cluster.vms[1]
-    log = live_cluster.folder / f"{place.name}.log"
+    vm = live_cluster.vms[1]
+    log = live_cluster.folder / f"{vm.name}.log"
     before = log.read_text().count("event=peer_frame_malformed")
     with zmq.Context() as context, context.socket(zmq.PUSH) as push:
         push.linger = 2000
-        push.connect(f"tcp://{place.peer_address}")
+        push.connect(f"tcp://{vm.peer_address}")
         push.send(frame)
         callers.wait_until(
             lambda: log.read_text().count("event=peer_frame_malformed") > before
@@ -150,15 +150,15 @@
 
 
 def test_messages_of_another_deployment_are_logged_and_dropped(live_cluster):
-    place = live_cluster.vms[1]
-    log = live_cluster.folder / f"{place.name}.log"
+    vm = live_cluster.vms[1]
+    log = live_cluster.folder / f"{vm.name}.log"
     frame = messages.encode(
         messages.Envelope(
             "elsewhere", "x", "127.0.0.1:1", messages.Cancel("leg")
         )
     )
     with zmq.Context() as context, context.socket(zmq.PUSH) as push:
-        push.connect(f"tcp://{place.peer_address}")
+        push.connect(f"tcp://{vm.peer_address}")
         push.send(frame)
         callers.wait_until(
             lambda: (
@@ -179,15 +179,15 @@
 def test_a_request_with_an_incomplete_answer_may_have_run(
     live_cluster, fault, reason
 ):
-    place = callers.owner_of(live_cluster, "payments", "k1")
-    cluster.call(place.target_address, "POST", "/faults", fault)
+    vm = callers.owner_of(live_cluster, "payments", "k1")
+    cluster.call(vm.target_address, "POST", "/faults", fault)
     try:
         response = callers.send_request(
             live_cluster.vms[0], "POST", "/v1/payments/pay?key=k1"
         )
     finally:
         no_faults = {"truncate": False, "oversize": 0}
-        cluster.call(place.target_address, "POST", "/faults", no_faults)
+        cluster.call(vm.target_address, "POST", "/faults", no_faults)
     assert response[:2] == (504, "may-have-run")
     assert json.loads(response[2])["reason"] == reason
     assert (
@@ -256,36 +256,36 @@
 
 
 def test_keys_of_a_killed_daemon_are_served_and_it_rejoins(live_cluster):
-    place = callers.owner_of(live_cluster, "seats", "k2")
-    place.daemon_process.send_signal(signal.SIGKILL)
-    place.daemon_process.wait()
-    others = [other for other in live_cluster.vms if other is not place]
+    vm = callers.owner_of(live_cluster, "seats", "k2")
+    vm.daemon_process.send_signal(signal.SIGKILL)
+    vm.daemon_process.wait()
+    others = [other for other in live_cluster.vms if other is not vm]
     response = callers.send_request(
         others[0], "GET", "/v1/seats/x?key=k2", X_Deadline_Ms="20000"
     )
     assert response[0] == 200
-    live_cluster.start_daemon(place)
+    live_cluster.start_daemon(vm)
     assert live_cluster.wait_until_ready(clusters.READY_TIMEOUT_S) is not None
 
 
 def test_a_draining_daemon_drops_no_request_and_exits_with_0(live_cluster):
-    place = callers.owner_of(live_cluster, "payments", "k3")
-    others = [other for other in live_cluster.vms if other is not place]
-    place.daemon_process.send_signal(signal.SIGTERM)
+    vm = callers.owner_of(live_cluster, "payments", "k3")
+    others = [other for other in live_cluster.vms if other is not vm]
+    vm.daemon_process.send_signal(signal.SIGTERM)
     for number in range(20):
         path = f"/v1/payments/pay?key=k{number}"
         assert callers.send_request(others[number % 5], "POST", path)[0] == 200
-    assert place.daemon_process.wait(timeout=callers.TIMEOUT_S) == 0
-    out = (live_cluster.folder / f"daemon-{place.name}.out").read_text()
+    assert vm.daemon_process.wait(timeout=callers.TIMEOUT_S) == 0
+    out = (live_cluster.folder / f"daemon-{vm.name}.out").read_text()
     assert "leaked" not in out
-    live_cluster.start_daemon(place)
+    live_cluster.start_daemon(vm)
     assert live_cluster.wait_until_ready(clusters.READY_TIMEOUT_S) is not None
 
 
 def test_an_address_in_use_is_reported_without_traceback(live_cluster):
-    place = live_cluster.vms[0]
-    process = live_cluster.launch_daemon(place)
+    vm = live_cluster.vms[0]
+    process = live_cluster.launch_daemon(vm)
     assert process.wait(timeout=callers.TIMEOUT_S) == 1
-    out = (live_cluster.folder / f"again-{place.name}.out").read_text()
+    out = (live_cluster.folder / f"again-{vm.name}.out").read_text()
     assert "cannot start" in out
     assert "Traceback" not in out
