--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -21,7 +21,7 @@
 def main(seeds: int, first: int | None, seconds: float) -> None:
     """Runs consecutive seeds, and keeps the logs of those that fail."""
     first_seed = first if first is not None else random.randrange(10**6)
-    failed = 0
+    failed_runs = 0
     for seed in range(first_seed, first_seed + seeds):
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
         result = run.run_seed(folder, seed, seconds)
@@ -34,12 +34,12 @@
             " after the last fault"
         )
         if not result.passed:
-            failed += 1
+            failed_runs += 1
             (folder / "story.txt").write_text("\n".join(result.fault_log))
             click.echo(f"  logs: {folder}")
             for violation in result.violations:
                 click.echo(f"  {violation}")
-    sys.exit(1 if failed else 0)
+    sys.exit(1 if failed_runs else 0)
 
 
 if __name__ == "__main__":
--- a/soak/checker.py
+++ b/soak/checker.py
@@ -9,8 +9,8 @@
 from standins import appserver
 
 # Statuses by which the router says that the request was not executed.
-_NOT_EXECUTED = frozenset({408, 421, 429, 503})
-_MAX_REPORTED = 20
+_NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
+_MAX_REPORTED_VIOLATIONS = 20
 
 
 class Exchange(msgspec.Struct, frozen=True):
@@ -71,7 +71,7 @@
             self.statuses[exchange.status] += 1
             if not exchange.idempotent:
                 self._non_idempotent.add(exchange.request)
-                if exchange.status in _NOT_EXECUTED:
+                if exchange.status in _NOT_EXECUTED_STATUSES:
                     self._refused.add(exchange.request)
         if 200 <= exchange.status < 300:
             self._check_response(exchange)
@@ -88,7 +88,7 @@
                     self._add_violation(f"EXECUTED TWICE {request}")
                 if self._executions[request] and request in self._refused:
                     self._add_violation(f"REFUSED {request}: it was executed")
-        return self.violations[:_MAX_REPORTED]
+        return self.violations[:_MAX_REPORTED_VIOLATIONS]
 
     def _record_execution(
         self, server: appserver.AppServer, request: str, shard_key: int | None
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -74,12 +74,12 @@
             sock.settimeout(None)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         discarding = {Mode.SILENT}
-        for ends in (
+        for direction in (
             (client, target, discarding),
             (target, client, discarding | {Mode.ANSWERS_LOST}),
         ):
             threading.Thread(
-                target=self._forward, args=ends, daemon=True
+                target=self._forward, args=direction, daemon=True
             ).start()
 
     def _forward(
--- a/soak/run.py
+++ b/soak/run.py
@@ -128,13 +128,13 @@
             time.sleep(self.rng.uniform(0.1, 1.5))
             fault = self.rng.choice(faults.ALL)
             vm = self.rng.choice(self.cluster.vms)
-            names = {vm.name}
+            vm_names = {vm.name}
             if fault is faults.kill_all:
-                names = {each.name for each in self.cluster.vms}
+                vm_names = {each.name for each in self.cluster.vms}
             # Faults at the same VM would act on the same processes, so they
             # must not overlap.
             if any(
-                name in active and active[name].is_alive() for name in names
+                name in active and active[name].is_alive() for name in vm_names
             ):
                 continue
             self._log_fault(f"{fault.__name__} {vm.name}")
@@ -142,7 +142,7 @@
                 target=self._inject, args=(fault, vm), daemon=True
             )
             thread.start()
-            active.update(dict.fromkeys(names, thread))
+            active.update(dict.fromkeys(vm_names, thread))
         for thread in active.values():
             thread.join(30)
 
@@ -181,13 +181,13 @@
         connection = http.client.HTTPConnection(vm.caller_address, timeout=3)
         while not self._stopped.is_set():
             time.sleep(rng.uniform(0, 2 * _MEAN_PAUSE_S))
-            request = f"s{next(self._ids):07d}"
+            request_id = f"s{next(self._ids):07d}"
             keyed = rng.random() < 0.6
             host = "money.example" if keyed else "seats.example"
-            path = f"/pay/{request}" if keyed else f"/browse/{request}"
+            path = f"/pay/{request_id}" if keyed else f"/browse/{request_id}"
             headers = {
                 "Host": host,
-                "X-Tamarackgap-Attempt-Id": request,
+                "X-Tamarackgap-Attempt-Id": request_id,
                 "X-Tamarackgap-Timeout-Ms": str(_REQUEST_TIMEOUT_MS),
             }
             if keyed:
@@ -207,7 +207,7 @@
                 )
             self.checker.record_exchange(
                 checker.Exchange(
-                    request,
+                    request_id,
                     not keyed,
                     path,
                     status,
--- a/standins/appserver.py
+++ b/standins/appserver.py
@@ -203,19 +203,19 @@
 
     def _run(self, request: httpd.Request) -> httpd.Response:
         request_id = request.headers.get("x-tamarackgap-attempt-id", "")
-        echo = {"X-Tamarackgap-Attempt-Id": request_id}
-        addressee = request.headers.get("x-tamarackgap-target-instance")
+        id_header = {"X-Tamarackgap-Attempt-Id": request_id}
+        target_instance = request.headers.get("x-tamarackgap-target-instance")
         key_text = request.headers.get("x-tamarackgap-shard-key")
         shard_key = int(key_text) if key_text else None
-        if addressee != self.instance or (
+        if target_instance != self.instance or (
             self._keyed and not self.holds(shard_key)
         ):
             return httpd.Response(
-                421, headers={**echo, "X-Tamarackgap-Not-Executed": "1"}
+                421, headers={**id_header, "X-Tamarackgap-Not-Executed": "1"}
             )
         if self.fault == "full":
             return httpd.Response(
-                503, headers={**echo, "X-Tamarackgap-Not-Executed": "1"}
+                503, headers={**id_header, "X-Tamarackgap-Not-Executed": "1"}
             )
         self.on_run_started(self, request_id, shard_key)
         time.sleep(self.work_s)
@@ -231,7 +231,7 @@
             case "error":
                 status = 500
             case "unsigned":
-                return httpd.Response(200, b"spoilt", echo)
+                return httpd.Response(200, b"spoilt", id_header)
             case _:
                 status = 200
         answer = {
@@ -244,7 +244,7 @@
         return httpd.Response(
             status,
             json.dumps(answer).encode("utf-8"),
-            {**echo, "X-Tamarackgap-Response-Signature": "signed"},
+            {**id_header, "X-Tamarackgap-Response-Signature": "signed"},
         )
 
 
--- a/standins/platformcluster.py
+++ b/standins/platformcluster.py
@@ -312,17 +312,17 @@
     Returns:
         Status, headers and body of the response, and the request's id.
     """
-    request = f"r{next(_ids):06d}"
+    request_id = f"r{next(_ids):06d}"
     headers = {
         "Host": host,
-        "X-Tamarackgap-Attempt-Id": request,
+        "X-Tamarackgap-Attempt-Id": request_id,
         "X-Tamarackgap-Timeout-Ms": str(timeout_ms),
     }
     if key is not None:
         headers["X-Tamarackgap-Shard-Key"] = str(key)
     return (
         *send_request(vm.caller_address, method, path, headers, body),
-        request,
+        request_id,
     )
 
 
--- a/standins/rowstore.py
+++ b/standins/rowstore.py
@@ -20,7 +20,7 @@
 
     Attributes:
         failure_status: Status for every call while it is not None.
-        is_unresponsive: Whether calls wait for an answer until it is reset.
+        is_unresponsive: Whether calls get no answer until this is False.
         call_counts: Number of calls by path.
         committed_transactions: Number of committed transactions, without the
             rows that `put` writes.
--- a/standins/target.py
+++ b/standins/target.py
@@ -97,7 +97,7 @@
         self._slow_until = time.monotonic() + cold_s
         self._lock = threading.Lock()
         self._running = 0
-        self._last_fences: dict[int, int] = {}
+        self._highest_fences: dict[int, int] = {}
         self._granted_slots: dict[int, slots.SlotAssignment] = {}
         self._grant_expires_at = 0.0
         self._grant_owner = ""
@@ -193,7 +193,9 @@
         assignment = self._granted_slots.get(slot)
         if assignment is None or owner != self._grant_owner:
             return "not-granted"
-        if fence != assignment.fence or fence < self._last_fences.get(slot, 0):
+        if fence != assignment.fence or fence < self._highest_fences.get(
+            slot, 0
+        ):
             return "stale-fence"
         return ""
 
@@ -207,7 +209,9 @@
     ) -> httpd.Response:
         headers = request.headers
         key = bytes.fromhex(headers["x-key"]).decode("utf-8")
-        self._last_fences[slot] = max(fence, self._last_fences.get(slot, 0))
+        self._highest_fences[slot] = max(
+            fence, self._highest_fences.get(slot, 0)
+        )
         self._effect_counts[key] = self._effect_counts.get(key, 0) + 1
         record = RunRecord(
             request=headers["x-request-id"],
--- a/tamarackgap/commands/cmdline.py
+++ b/tamarackgap/commands/cmdline.py
@@ -240,7 +240,7 @@
 @_json_option
 def table_show(address: str, as_json: bool) -> None:
     """Print all policies with their versions."""
-    lines = []
+    policy_rows = []
     for row in _read_rows(address):
         if not row.key.startswith(records.POLICY_PREFIX) or not row.value:
             continue
@@ -248,7 +248,7 @@
             records.POLICY_PREFIX
         ).partition("/")
         row_policy = msgspec.json.decode(row.value, type=records.Policy)
-        lines.append(
+        policy_rows.append(
             PolicyRow(
                 service,
                 data_centre,
@@ -258,17 +258,17 @@
                 row_policy.queue,
             )
         )
-    lines.sort(key=lambda line: (line.service, line.data_centre))
-    texts = [
+    policy_rows.sort(key=lambda row: (row.service, row.data_centre))
+    lines = [
         f"{'SERVICE':16} {'DATA CENTRE':14} {'VERSION':>7} {'WEIGHT':>6}"
         f" {'IN_PROGRESS':>11} {'QUEUE':>6}"
     ]
-    texts += [
-        f"{line.service:16} {line.data_centre:14} {line.version:7}"
-        f" {line.weight:6} {line.in_progress:11} {line.queue:6}"
-        for line in lines
+    lines += [
+        f"{row.service:16} {row.data_centre:14} {row.version:7}"
+        f" {row.weight:6} {row.in_progress:11} {row.queue:6}"
+        for row in policy_rows
     ]
-    _print_result(lines, as_json, "\n".join(texts))
+    _print_result(policy_rows, as_json, "\n".join(lines))
 
 
 @table.command("history", epilog=_EXIT_CODES)
@@ -281,12 +281,12 @@
         for row in sorted(_read_rows(address), key=lambda row: row.key)
         if row.key.startswith(records.HISTORY_PREFIX) and row.value
     ]
-    texts = [
+    lines = [
         f"{entry.when_ms} {entry.who} {entry.row}:"
         f" {_format_columns(entry.before)} -> {_format_columns(entry.after)}"
         for entry in entries
     ]
-    _print_result(entries, as_json, "\n".join(texts) or "no edits")
+    _print_result(entries, as_json, "\n".join(lines) or "no edits")
 
 
 def _format_columns(row: records.Policy | None) -> str:
--- a/tamarackgap/commands/control.py
+++ b/tamarackgap/commands/control.py
@@ -13,8 +13,8 @@
 from tamarackgap.requests import pages
 from tamarackgap.table import tableclient
 
-_TIMEOUT_S = 5.0
-_DAEMON_TIMEOUT_S = 1.0
+_REQUEST_TIMEOUT_S = 5.0
+_STATUS_TIMEOUT_S = 1.0
 _RETRY_INTERVAL_S = 0.2
 
 
@@ -22,7 +22,7 @@
     """Counts the daemons that have read an edit.
 
     Attributes:
-        revision: The table's revision of the edit.
+        revision: Table revision at which the edit was committed.
         daemons: Number of daemons with an open lease.
         applied: Number of these daemons that have read the edit.
     """
@@ -42,7 +42,7 @@
     method: str,
     path: str,
     body: bytes = b"",
-    timeout: float = _TIMEOUT_S,
+    timeout: float = _REQUEST_TIMEOUT_S,
 ) -> tuple[int, bytes]:
     """Returns the status and the body of the answer to an HTTP request.
 
@@ -96,9 +96,9 @@
     key: str,
     values: dict[str, int],
     who: str,
-    expected: int | None,
+    expected_revision: int | None,
 ) -> int:
-    """Edits a policy and returns the table's revision of the edit.
+    """Edits a policy and returns the table revision of the committed edit.
 
     A lost answer is resolved by sending the same transaction again: the table
     commits it only once, and the entry in the history shows whether it did.
@@ -108,8 +108,8 @@
         key: The row's key.
         values: New values of the columns to change.
         who: Name of the operator, for the history.
-        expected: Revision of the row that the operator saw, 0 for no row, or
-            None to edit any revision.
+        expected_revision: Revision of the row that the operator saw, 0 for no
+            row, or None to edit any revision.
 
     Raises:
         exceptions.ConflictError: If somebody else has edited the row.
@@ -117,14 +117,14 @@
     """
     row = find_row(read_rows(address).rows, key)
     current = row.revision if row is not None and row.value else 0
-    if expected is not None and current != expected:
+    if expected_revision is not None and current != expected_revision:
         raise exceptions.ConflictError(
-            f"{key} is at version {current}, not {expected}:"
+            f"{key} is at version {current}, not {expected_revision}:"
             " somebody else edited it"
         )
     edit = policy.build_edit(row, key, values, who, int(time.time() * 1000))
     body = msgspec.json.encode(edit.transaction)
-    deadline = time.monotonic() + 2 * _TIMEOUT_S
+    deadline = time.monotonic() + 2 * _REQUEST_TIMEOUT_S
     while time.monotonic() < deadline:
         status = _commit(address, body)
         if status in (200, 409):
@@ -137,6 +137,7 @@
 
 
 def _commit(address: str, body: bytes) -> int:
+    """Returns the HTTP status of the answer, 0 if there is none."""
     try:
         return send_request(address, "POST", "/transactions", body)[0]
     except OSError:
@@ -180,15 +181,15 @@
     Raises:
         exceptions.TableError: If the table does not answer.
     """
-    members = open_leases(read_rows(address).rows)
+    lease_records = open_leases(read_rows(address).rows)
     applied = 0
-    for record in members:
+    for record in lease_records:
         try:
             status = daemon_status(record.http_address)
         except OSError:
             continue
         applied += status.table_revision >= revision
-    return Propagation(revision, len(members), applied)
+    return Propagation(revision, len(lease_records), applied)
 
 
 def wait_until_in_force(
@@ -201,7 +202,7 @@
 
     Args:
         address: The table's `ip:port`.
-        revision: The table's revision of the edit.
+        revision: Table revision at which the edit was committed.
         seconds: Longest wait.
         on_progress: Called after each round of queries.
 
@@ -229,7 +230,7 @@
     Raises:
         OSError: If the daemon does not answer.
     """
-    _, body = send_request(address, "GET", "/status", timeout=_DAEMON_TIMEOUT_S)
+    _, body = send_request(address, "GET", "/status", timeout=_STATUS_TIMEOUT_S)
     return msgspec.json.decode(body, type=pages.Status)
 
 
@@ -250,11 +251,13 @@
     table = read_rows(address)
     view = records.TableView()
     view.merge(table.rows)
-    lost = [record for record in view.open_records() if record.daemon == daemon]
-    if not lost:
+    lease_records = [
+        record for record in view.open_records() if record.daemon == daemon
+    ]
+    if not lease_records:
         return 0
     builder = changes.Builder(view, f"lost-{time.time_ns():x}")
-    for record in lost:
+    for record in lease_records:
         builder.close_record(record, slots.expand(record.runs))
     change = builder.build(changes.ChangeKind.CLOSE_GONE, "lost")
     status = _commit(address, msgspec.json.encode(change.transaction))
@@ -262,4 +265,4 @@
         raise exceptions.ConflictError(f"{daemon}: its record has changed")
     if status != 200:
         raise exceptions.TableError(f"table {address}: no answer")
-    return len(lost)
+    return len(lease_records)
--- a/tamarackgap/commands/policy.py
+++ b/tamarackgap/commands/policy.py
@@ -46,7 +46,7 @@
 
 
 class Edit(msgspec.Struct, frozen=True):
-    """An edit of one row that has not been sent yet.
+    """An operator's edit of one policy and the transaction that makes it.
 
     Attributes:
         key: The row's key.
--- a/tamarackgap/network/exchanges.py
+++ b/tamarackgap/network/exchanges.py
@@ -1,4 +1,4 @@
-"""Defines the exchange of one HTTP request and its failures."""
+"""Defines the base class of HTTP exchanges and the causes of their failure."""
 
 import enum
 from collections.abc import Callable
@@ -10,16 +10,17 @@
 
 
 class Cause(enum.Enum):
-    """The reason why a request has no answer."""
+    """The reason why a request has no usable answer."""
 
-    # No process listens at the address. `httpclient` reports UNREACHABLE then.
+    # No process listens at the address. `httpclient` reports UNREACHABLE
+    # instead.
     REFUSED = "refused"
     # No connection could be established.
     UNREACHABLE = "unreachable"
     # The connection ended before an answer arrived.
     CLOSED = "closed"
     TIMEOUT = "timeout"
-    # The connection ended within the answer.
+    # The connection ended after a part of the answer.
     TRUNCATED = "truncated"
     MALFORMED = "malformed"
     TOO_LARGE = "too-large"
@@ -27,7 +28,7 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """Describes a request that has no answer.
+    """Describes a request that has no usable answer.
 
     Attributes:
         cause: The reason.
--- a/tamarackgap/network/httpclient.py
+++ b/tamarackgap/network/httpclient.py
@@ -19,8 +19,8 @@
 from tamarackgap.network import exchanges, scheduler
 
 _READ_BYTES = 65_536
-_CONNECTING = (errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EALREADY)
-_PARSE_RESPONSE = 1
+_CONNECT_PENDING_ERRNOS = (errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EALREADY)
+_RESPONSE_PARSER_KIND = 1
 
 
 class Answer(msgspec.Struct, frozen=True):
@@ -47,7 +47,7 @@
         headers: Headers other than Host and Content-Length.
         body: The body.
         timeout_s: Longest time until the answer is complete.
-        max_answer_bytes: Largest answer, including its headers.
+        max_answer_bytes: Largest size of the answer, including its headers.
     """
 
     address: str
@@ -85,7 +85,7 @@
         self.unsent = b""
         self.sent = False
         self.received_bytes = 0
-        self.parser = parsers.HttpParser(_PARSE_RESPONSE)
+        self.parser = parsers.HttpParser(_RESPONSE_PARSER_KIND)
 
     def assign(self, exchange: Exchange) -> None:
         """Prepares to write the request of an exchange."""
@@ -94,7 +94,7 @@
         self.unsent = _encode_request(exchange.request)
         self.sent = False
         self.received_bytes = 0
-        self.parser = parsers.HttpParser(_PARSE_RESPONSE)
+        self.parser = parsers.HttpParser(_RESPONSE_PARSER_KIND)
 
 
 def _encode_request(request: Request) -> bytes:
@@ -170,7 +170,7 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         code = sock.connect_ex((host, int(port)))
-        if code and code not in _CONNECTING:
+        if code and code not in _CONNECT_PENDING_ERRNOS:
             sock.close()
             return None
         connection = _Connection(address, sock)
@@ -260,9 +260,9 @@
         elif data:
             self._feed(connection, data)
         else:
-            self._handle_end(connection)
+            self._handle_eof(connection)
 
-    def _handle_end(self, connection: _Connection) -> None:
+    def _handle_eof(self, connection: _Connection) -> None:
         if not connection.connected:
             cause = exchanges.Cause.UNREACHABLE
         elif connection.received_bytes:
--- a/tamarackgap/network/httppool.py
+++ b/tamarackgap/network/httppool.py
@@ -283,7 +283,7 @@
         elif data:
             self._feed(data)
         else:
-            self._handle_end()
+            self._handle_eof()
 
     def _feed(self, data: bytes) -> None:
         self._received = True
@@ -296,7 +296,7 @@
                 return
         self._complete()
 
-    def _handle_end(self) -> None:
+    def _handle_eof(self) -> None:
         if self._received and not self._has_framing and self._headers:
             # Without framing headers, the body ends with the connection.
             self._must_close = True
@@ -326,16 +326,19 @@
         if self._writer.unsent or not self._parser.should_keep_alive():
             self._must_close = True
         self._exchange = None
-        self.reusable_until = self._pool.timers.now + self._idle_limit(answer)
+        self.reusable_until = self._pool.timers.now + self._idle_timeout_s(
+            answer
+        )
         self._accepted = (exchange, answer)
 
-    def _idle_limit(self, answer: Answer) -> float:
+    def _idle_timeout_s(self, answer: Answer) -> float:
         keep_alive = answer.header(b"keep-alive")
         if keep_alive is not None:
             for part in keep_alive.split(b","):
                 name, _, value = part.strip().partition(b"=")
                 if name.lower() == b"timeout" and value.isdigit():
-                    # The other side may close slightly before its timeout.
+                    # Leaves a margin of one second: the other side may close
+                    # slightly before its timeout.
                     return min(
                         self._pool.idle_timeout_s, max(0.0, int(value) - 1.0)
                     )
@@ -360,8 +363,8 @@
 
         Args:
             cause: The cause of the failure.
-            sent: Whether any byte of the request may have been sent; None if
-                that follows from whether the connection was established.
+            sent: Whether any byte of the request may have been sent; None
+                derives it from whether the connection was established.
         """
         exchange = self._exchange
         self._exchange = None
--- a/tamarackgap/network/httpserver.py
+++ b/tamarackgap/network/httpserver.py
@@ -10,10 +10,11 @@
 from tamarackgap.network import scheduler, sockets
 
 _BACKLOG = 1024
-# Most connections accepted in one loop iteration.
+# Largest number of connections accepted in one loop iteration.
 _ACCEPT_BATCH = 64
 _TIMEOUT_CHECK_INTERVAL_S = 0.5
-# Most body bytes of pipelined requests that wait on a connection.
+# Largest total size of the bodies of pipelined requests that wait on a
+# connection.
 _MAX_PIPELINED_BYTES = 1_048_576
 _REASON_PHRASES = {
     200: "OK",
@@ -51,7 +52,7 @@
 
 
 class IncomingRequest:
-    """A request that has been received completely and can be answered.
+    """A request that has been received completely and awaits its response.
 
     Attributes:
         received_at: Monotonic time of the request's first byte, seconds.
@@ -106,7 +107,7 @@
     Attributes:
         limits: Limits on callers' requests; may be replaced at any time.
         draining: Whether each response closes its connection, so that callers
-            open others elsewhere.
+            connect to other daemons.
     """
 
     def __init__(
@@ -201,10 +202,12 @@
         self._closing = False
         self._closed = False
         self._keep_alive = True
-        # Time of the last response or of the first byte of the last request.
+        # Monotonic time of the last response or of the first byte of the last
+        # request, whichever is later, seconds.
         self._active_at = server.timers.now
         self._receiving = False
-        # Size of the headers of the request being received, then of its body.
+        # Header bytes of the request being received; counts its body bytes
+        # instead once the headers are complete.
         self._received_bytes = 0
         self._url = b""
         self._headers: Headers = []
@@ -230,6 +233,7 @@
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        # The separator and the line end have 2 bytes each.
         self._received_bytes += len(name) + len(value) + 4
         if self._received_bytes > self._server.limits.max_header_bytes:
             self._error_status = self._error_status or 431
--- a/tamarackgap/network/scheduler.py
+++ b/tamarackgap/network/scheduler.py
@@ -54,8 +54,8 @@
     def after(self, seconds: float, call: Callable[[], None]) -> Timer:
         """Calls `call` once, after a delay in seconds."""
         timer = Timer(call)
-        due = self._clock() + seconds
-        heapq.heappush(self._timers, (due, next(self._sequence), timer))
+        due_at = self._clock() + seconds
+        heapq.heappush(self._timers, (due_at, next(self._sequence), timer))
         return timer
 
     def every(self, seconds: float, call: Callable[[], None]) -> None:
@@ -72,7 +72,7 @@
         self._iteration_calls.append(call)
 
     def run_due(self) -> float:
-        """Makes the calls of each iteration and those of all due timers.
+        """Calls the functions of `each_iteration` and those of all due timers.
 
         Returns:
             Seconds until the next timer is due, or -1 if there is none.
--- a/tamarackgap/network/sockets.py
+++ b/tamarackgap/network/sockets.py
@@ -1,4 +1,4 @@
-"""Watches sockets on the circuits loop, without an event for each readiness."""
+"""Watches sockets on the circuits loop, with callbacks instead of events."""
 
 import errno
 import select
@@ -14,7 +14,7 @@
 READ_BYTES = 65_536
 CONNECTING = (errno.EINPROGRESS, errno.EWOULDBLOCK, errno.EALREADY)
 
-# Called with the epoll flags that are set on a socket.
+# Called with the epoll flags that are reported for a socket.
 Callback = Callable[[int], None]
 
 
@@ -28,7 +28,7 @@
 
     Attributes:
         run_due: Runs the due timers, and returns the seconds until the next
-            one; negative if there is none. None leaves timers to the loop.
+            one; negative if there is none. If None, the loop runs the timers.
     """
 
     def __init__(self) -> None:
@@ -122,7 +122,8 @@
     """Sends bytes on a non-blocking socket, and buffers what can't be sent yet.
 
     Attributes:
-        connection_refused: Whether no process listens at the other side.
+        connection_refused: Whether the other side refused the connection,
+            because no process listens there.
     """
 
     def __init__(
@@ -144,7 +145,7 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the connection has been made."""
+        """Whether the connection is established."""
         return self._connected
 
     @property
--- a/tamarackgap/settings/config.py
+++ b/tamarackgap/settings/config.py
@@ -103,7 +103,7 @@
                 f" expected {option.expected}"
             )
         values[option.field] = value
-    return _check_consistency(Config(**values), path)
+    return _check_constraints(Config(**values), path)
 
 
 def _parse(option: options.Option, text: str) -> str | int | None:
@@ -136,7 +136,7 @@
     return port.isdecimal() and 0 < int(port) < 65536
 
 
-def _check_consistency(config: Config, path: str) -> result.Result[Config, str]:
+def _check_constraints(config: Config, path: str) -> result.Result[Config, str]:
     slots = config.ownership_slots
     if slots & (slots - 1):
         return result.Failure(
--- a/tamarackgap/settings/options.py
+++ b/tamarackgap/settings/options.py
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.Enum):
-    """The type of a setting; its value describes it in messages."""
+    """The type of a setting, described by its enum value in error messages."""
 
     NAME = "name of letters, digits, '.', '_' and '-'"
     ADDRESS = "ip:port"
--- a/tamarackgap/table/tableclient.py
+++ b/tamarackgap/table/tableclient.py
@@ -32,7 +32,7 @@
     Attributes:
         committed: Whether all checks of the transaction held, so that it was
             committed.
-        rows: The rows that the transaction names, after it.
+        rows: The current rows of the keys that the transaction names.
     """
 
     committed: bool
@@ -79,7 +79,7 @@
         def handle_outcome(
             outcome: result.Result[httpclient.Answer, exchanges.Failure],
         ) -> None:
-            done(outcome.alt(_cause).bind(_decode_changes))
+            done(outcome.alt(_cause_text).bind(_decode_changes))
 
         self._http.send(
             self._request("GET", f"/rows?since={since}", b""), handle_outcome
@@ -92,15 +92,15 @@
 
         Args:
             transaction: The transaction.
-            done: Called once with its state, which is UNKNOWN without a usable
-                answer, and with the rows of the answer.
+            done: Called once with the transaction's state, which is UNKNOWN if
+                there is no usable answer, and with the rows of the answer.
         """
         self.writes += 1
 
         def handle_outcome(
             outcome: result.Result[httpclient.Answer, exchanges.Failure],
         ) -> None:
-            commit_outcome = outcome.alt(_cause).bind(_decode_outcome)
+            commit_outcome = outcome.alt(_cause_text).bind(_decode_outcome)
             match commit_outcome:
                 case result.Success(
                     CommitOutcome(committed=committed, rows=rows)
@@ -134,7 +134,7 @@
     return effects.CommitState.CONFLICT
 
 
-def _cause(failure: exchanges.Failure) -> str:
+def _cause_text(failure: exchanges.Failure) -> str:
     return failure.cause.value
 
 
@@ -152,8 +152,8 @@
     return _decode(answer.body, CommitOutcome)
 
 
-def _decode(body: bytes, kind: type) -> result.Result:
+def _decode(body: bytes, answer_type: type) -> result.Result:
     try:
-        return result.Success(msgspec.json.decode(body, type=kind))
+        return result.Success(msgspec.json.decode(body, type=answer_type))
     except msgspec.MsgspecError as error:
         return result.Failure(f"malformed answer: {error}")
--- a/tamarackgap/table/tablereader.py
+++ b/tamarackgap/table/tablereader.py
@@ -10,8 +10,8 @@
 from tamarackgap.ownership import ownership
 from tamarackgap.table import tableclient
 
-# The table handles about 2,000 reads a second in total. The two rates are
-# shared by all daemons in the table.
+# Limits on the polls, and on the reads after changes, of all daemons together.
+# The table handles about 2,000 reads a second in total.
 _MAX_POLLS_PER_S = 300.0
 _MAX_REFRESHES_PER_S = 600.0
 _MIN_READ_INTERVAL_S = 0.05
@@ -72,8 +72,12 @@
         The interval grows with the number of daemons in the table.
         """
         self._read()
-        fair_interval = len(self._core.view.open_records()) / _MAX_POLLS_PER_S
-        self._timers.after(max(self._poll_interval, fair_interval), self.poll)
+        rate_limit_interval = (
+            len(self._core.view.open_records()) / _MAX_POLLS_PER_S
+        )
+        self._timers.after(
+            max(self._poll_interval, rate_limit_interval), self.poll
+        )
 
     def read_soon(self) -> None:
         """Reads once, after a random delay.
--- a/tests/commands/test_cmdline.py
+++ b/tests/commands/test_cmdline.py
@@ -1,4 +1,4 @@
-"""Runs the command line against a simulated platform and without one."""
+"""Tests the commands; those that use the table run against a stand-in."""
 
 import json
 import threading
--- a/tests/network/test_sockets.py
+++ b/tests/network/test_sockets.py
@@ -46,5 +46,6 @@
     with reader, writer:
         loop.run()
     assert received == [b"x"] * 5
-    # With timers in the poller, one event waits and the others end the loop.
+    # If the poller runs the timers, one `generate_events` event covers all
+    # reads; the others occur while the loop stops.
     assert (loop.events <= 5) is timers_run_in_poller
--- a/tests/table/test_tablereader.py
+++ b/tests/table/test_tablereader.py
@@ -17,8 +17,10 @@
         self.due.append((self.now + seconds, call))
 
     def run(self, until):
-        while self.due and min(self.due, key=lambda due: due[0])[0] <= until:
-            first = min(self.due, key=lambda due: due[0])
+        while (
+            self.due and min(self.due, key=lambda entry: entry[0])[0] <= until
+        ):
+            first = min(self.due, key=lambda entry: entry[0])
             self.due.remove(first)
             self.now = max(self.now, first[0])
             first[1]()
@@ -69,8 +71,8 @@
 
 
 def test_rarely_polled_table_is_not_unreachable():
-    # Guards against counting the time since the last answer: with polls six
-    # seconds apart, as for 1,800 daemons, each table counted as unreachable.
+    # Guards against counting the time since the last answer: 1,800 daemons poll
+    # every six seconds, so a table that answers would count as unreachable.
     timers, table, reader = make()
     reader.poll()
     timers.run(5.0)
