--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -133,7 +133,7 @@
         )
         evidence = checker.History(
             callers.results,
-            running.runs(),
+            running.run_records(),
             sequence.left,
             sequence.drained,
             sequence.edits,
