--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""`make bench`: runs all parts of the bench, or the given ones."""
+"""Runs all parts of the bench, or the given ones (`make bench`)."""
 
 import click
 
--- a/bench/datapath.py
+++ b/bench/datapath.py
@@ -134,22 +134,22 @@
     """
     seconds = 2.0 if quick else 8.0
     with _bare_handler() as bare_pid, tempfile.TemporaryDirectory() as folder:
-        found = platformcluster.PlatformCluster(
+        running = platformcluster.PlatformCluster(
             pathlib.Path(folder),
             [("entry", "money", True), ("owner", "seats", False)],
         )
         try:
-            found.start()
-            rows = _router_paths(found, bare_pid, seconds)
+            running.start()
+            rows = _router_paths(running, bare_pid, seconds)
         finally:
-            found.stop()
+            running.stop()
     report.show("routerpath", rows)
 
 
 def _router_paths(
-    found: platformcluster.PlatformCluster, bare_pid: int, seconds: float
+    running: platformcluster.PlatformCluster, bare_pid: int, seconds: float
 ) -> list[report.Row]:
-    entry, owner = found.vms
+    entry, owner = running.vms
     owner.server.work_s = 0.0
     path = "/browse/x"
     if not platformcluster.wait_until(
--- a/bench/loads.py
+++ b/bench/loads.py
@@ -250,7 +250,7 @@
             )
             for index, slowdown in enumerate(scenario.slowdowns)
         ]
-        # The last view state of each target by name, for each entry.
+        # What each entry knows of each target, by the target's name.
         self._views = [
             {
                 target.name: balancer.Candidate(
@@ -271,7 +271,7 @@
         }
 
     def run(self) -> CallerStats:
-        """Runs the simulation and retries_left what callers got."""
+        """Runs the simulation and returns what callers got."""
         for target in self._targets:
             self._report_load(target)
             first_report_at = self._scenario.report_interval_s
--- a/bench/moves.py
+++ b/bench/moves.py
@@ -11,8 +11,8 @@
 _BASE_PORT = 28000
 _READY_TIMEOUT_S = 60.0
 _MOVE_PERIOD_S = 4.0
-# Length of a wait that a planned move is to stay within.
-_SLACK_MS = 100.0
+# Longest wait that a planned move may cause.
+_MAX_WAIT_MS = 100.0
 
 
 def _probe(
@@ -73,7 +73,7 @@
                 {
                     "move": number,
                     "longest_wait_ms": round(longest * 1000, 1),
-                    "over_slack": round(longest * 1000 / _SLACK_MS, 2),
+                    "over_slack": round(longest * 1000 / _MAX_WAIT_MS, 2),
                 }
             )
             row = f"policy/{victim.service}/{victim.data_centre}"
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -85,17 +85,17 @@
     """Simulates one policy in one scenario."""
 
     def __init__(
-        self, make: type[policies.Policy], scenario: Scenario, seed: int
+        self, policy_class: type[policies.Policy], scenario: Scenario, seed: int
     ) -> None:
         """Creates twelve servers in three data centres.
 
         Args:
-            make: Class of the policy.
+            policy_class: Class of the policy.
             scenario: Scenario to simulate.
             seed: Seed of the requests and of the policy.
         """
         self.rng = random.Random(seed)
-        self.policy = make(seed)
+        self.policy = policy_class(seed)
         self.scenario = scenario
         self.servers = [
             policies.Server(f"s{index}", "abc"[index % 3])
@@ -246,13 +246,13 @@
 
 
 def _row(
-    make: type[policies.Policy], scenario: Scenario, seed: int
+    policy_class: type[policies.Policy], scenario: Scenario, seed: int
 ) -> report.Row:
-    simulation = Simulation(make, scenario, seed)
+    simulation = Simulation(policy_class, scenario, seed)
     tally = simulation.run()
     return {
         "scenario": scenario.name,
-        "policy": make.name,
+        "policy": policy_class.name,
         "imbalance": round(
             _imbalance(tally, simulation.servers, _DURATION_S - 20), 3
         ),
@@ -276,9 +276,9 @@
     """
     scenarios = SCENARIOS[:2] if quick else SCENARIOS
     rows = [
-        _row(make, scenario, 7)
+        _row(policy_class, scenario, 7)
         for scenario in scenarios
-        for make in policies.ALL
+        for policy_class in policies.ALL
     ]
     report.show("policy", rows)
     if not quick:
@@ -292,10 +292,14 @@
     for axis, column in zip(
         axes, ("imbalance", "keys_moved", "unserved_key_s"), strict=True
     ):
-        for index, make in enumerate(policies.ALL):
-            values = [row[column] for row in rows if row["policy"] == make.name]
+        for index, policy_class in enumerate(policies.ALL):
+            values = [
+                row[column]
+                for row in rows
+                if row["policy"] == policy_class.name
+            ]
             positions = [n + index * width for n in range(len(names))]
-            axis.bar(positions, values, width, label=make.name)
+            axis.bar(positions, values, width, label=policy_class.name)
         axis.set_ylabel(column)
         if column != "imbalance":
             axis.set_yscale("symlog")
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""`make demo`: both deployments under load, with a crash and a drain."""
+"""Runs both deployments under load, with a crash and a drain (`make demo`)."""
 
 import json
 import pathlib
@@ -26,7 +26,8 @@
 
         Args:
             running: The deployment under load.
-            seconds: Length of the load; the faults come at fixed shares of it.
+            seconds: Duration of the load. Each fault is injected after a fixed
+                share of it.
         """
         self.cluster = running
         self.seconds = seconds
@@ -127,8 +128,12 @@
 
 
 @click.command()
-@click.option("--seconds", default=20.0, help="Length of the load in seconds.")
-@click.option("--rate", default=120.0, help="Requests per second and user.")
+@click.option(
+    "--seconds", default=20.0, help="Duration of the load in seconds."
+)
+@click.option(
+    "--rate", default=120.0, help="Requests per second and deployment."
+)
 @click.option("--seed", default=1, help="Seed of the load.")
 @click.option(
     "--folder",
@@ -139,7 +144,7 @@
 def main(
     seconds: float, rate: float, seed: int, folder: pathlib.Path | None
 ) -> None:
-    """Runs both users' deployments and checks the guarantees."""
+    """Runs both deployments and checks the guarantees."""
     work_folder = folder or pathlib.Path(
         tempfile.mkdtemp(prefix="tamarackgap-")
     )
--- a/demo/checker.py
+++ b/demo/checker.py
@@ -13,6 +13,7 @@
 from demo import load
 from standins import target as target_lib
 
+# Time within which runs may still begin after their target began to leave.
 LEAVING_LIMIT_S = 3.0
 
 
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -118,7 +118,8 @@
             folder: Folder for settings, logs and the targets' run records.
             base_port: First of the ports. The platform takes one port, each VM
                 takes three.
-            work_ms: Mean time that a target takes for an operation.
+            work_ms: Mean time that a target takes for an operation,
+                milliseconds.
             overrides: Settings of every daemon, by section.
         """
         self.deployment = deployment
@@ -325,11 +326,11 @@
             process.wait()
 
     def _start_module(
-        self, name: str, module: str, *words: str
+        self, name: str, module: str, *arguments: str
     ) -> subprocess.Popen:
         with (self.folder / f"{name}.out").open("ab") as out:
             return subprocess.Popen(
-                [sys.executable, "-m", module, *words],
+                [sys.executable, "-m", module, *arguments],
                 stdout=out,
                 stderr=subprocess.STDOUT,
                 stdin=subprocess.DEVNULL,
--- a/demo/deployments.py
+++ b/demo/deployments.py
@@ -1,4 +1,4 @@
-"""The two users' deployments, with the sizes that the brief states."""
+"""The two users' deployments, with the sizes from their requirements."""
 
 import msgspec
 
--- a/demo/load.py
+++ b/demo/load.py
@@ -82,8 +82,8 @@
         """
         self.cluster = running
         self.results: list[Result] = []
-        self._seconds = seconds
-        self._rate = rate
+        self._duration_s = seconds
+        self._requests_per_s = rate
         self._rng = random.Random(seed)
         self._jobs: queue.Queue = queue.Queue()
         self._lock = threading.Lock()
@@ -104,8 +104,8 @@
         started_at = time.monotonic()
         arrives_at = started_at
         number = 0
-        while arrives_at - started_at < self._seconds:
-            arrives_at += self._rng.expovariate(self._rate)
+        while arrives_at - started_at < self._duration_s:
+            arrives_at += self._rng.expovariate(self._requests_per_s)
             time.sleep(max(0.0, arrives_at - time.monotonic()))
             self._jobs.put((number, *self._choose()))
             number += 1
@@ -139,7 +139,7 @@
         entry: int,
     ) -> Result:
         sent_ms = int(time.time() * 1000)
-        # `report` reads the sending time from the id.
+        # `demo.report` reads the time of the first attempt from the id.
         request_id = f"{sent_ms}-{self.cluster.deployment.name}-{number}"
         started_at = time.monotonic()
         verdicts: list[str] = []
--- a/examples/embedded.py
+++ b/examples/embedded.py
@@ -25,7 +25,7 @@
     settings = effects.Settings(
         service="tickets",
         daemon=f"member-{number}",
-        data_centre=f"place-{number}",
+        data_centre=f"centre-{number}",
         peer_address=f"127.0.0.1:{7000 + number}",
         http_address=f"127.0.0.1:{8000 + number}",
         slot_count=16,
--- a/model/anchor.py
+++ b/model/anchor.py
@@ -1,10 +1,10 @@
 """How the table alone ends the epoch of an owner that does not answer.
 
 Parties: the owner O; the daemon C, which challenges O and closes its record;
-and the daemon D, which may challenge O as well. Once the record is closed, the
-slot is S's. O's witnesses are left out: they are assumed to renew its lease
-always. Only the anchor stops O: it serves for a limited time after each read
-of the table.
+the daemon D, which may challenge O as well; and the successor S, which owns the
+slot once the record is closed. O's witnesses are left out: the model assumes
+that they always renew its lease. Only the anchor limits O: after each
+read of the table, O serves for at most `ANCHOR` ticks.
 
 Time is counted in ticks. A paused party, a slow or lost call and an
 unreachable table are steps that are not taken.
@@ -93,8 +93,8 @@
 
     def serving_parties(self, state: State) -> list[str]:
         """Returns all parties that would serve a request for the slot now."""
-        fresh = state.valid_for > 0 or not self.holds(Rule.ANCHOR)
-        owner = ["O"] if fresh and not state.deposed else []
+        read_valid = state.valid_for > 0 or not self.holds(Rule.ANCHOR)
+        owner = ["O"] if read_valid and not state.deposed else []
         return [*owner, "S"] if state.closed else owner
 
     def second_fence_parties(self, state: State) -> str:
@@ -170,12 +170,12 @@
                 "C reads",
                 state._replace(known_challenge=state.challenge, waited=waited),
             )
-        same = state.challenge == state.known_challenge
-        same = same or not self.holds(Rule.SAME_CHALLENGE)
+        same_challenge = state.challenge == state.known_challenge
+        same_challenge = same_challenge or not self.holds(Rule.SAME_CHALLENGE)
         if (
             state.challenge
             and state.known_challenge
-            and same
+            and same_challenge
             and self._waited_long_enough(state)
         ):
             yield "C closes", state._replace(closed=True, challenge=0)
--- a/model/spec.py
+++ b/model/spec.py
@@ -326,7 +326,7 @@
         """Returns whether S knows that O's lease under its epoch has ended.
 
         Args:
-            state: The present state.
+            state: The current state.
             replies: States in a witness's reply that count.
         """
         witnesses = state.first if state.known_epoch == 1 else (state.second,)
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -21,9 +21,11 @@
     """One daemon of the simulation, with its own clock.
 
     Attributes:
+        name: Its name.
         offset: What its clock shows at time 0 of the simulation, seconds.
         rate: Seconds of its clock per second of the simulation.
         start: Time of its start in the simulation, seconds.
+        alive: Whether its process runs; False once it is killed or replaced.
         paused: Whether it takes no steps, as a stopped process does.
         outbound_cut: Whether all messages that it sends are lost.
         inbound_cut: Whether all messages to it are lost.
@@ -85,7 +87,8 @@
         current_gap: Time for which each slot has had no owner, seconds, by
             service and slot.
         longest_gap: The longest such time.
-        violations: What the checks of the slots found, with the time.
+        violations: Slots with two owners, a lower fence, or a new owner under
+            the same fence; each with the time when it was found, seconds.
         fences: Latest fence and owner, by service and slot.
     """
 
@@ -238,9 +241,9 @@
         if not daemon.reading and self.now >= daemon.next_read_at:
             self._read(daemon)
         for effect in daemon.core.take_effects():
-            self._carry_out(daemon, effect)
+            self._execute(daemon, effect)
 
-    def _carry_out(self, daemon, effect):
+    def _execute(self, daemon, effect):
         match effect:
             case effects.Send(sender=sender, address=address, message=message):
                 settings = daemon.core.settings
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -79,4 +79,4 @@
 def test_a_violation_is_found_by_its_check_alone(check, runs, changed):
     values = {"results": [make_result()], "runs": runs, **changed}
     violations = checker.find_violations(checker.History(**values))
-    assert [name for name, found in violations.items() if found] == [check]
+    assert [name for name, texts in violations.items() if texts] == [check]
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -1,4 +1,7 @@
-"""Checks how real processes handle targets that crash, hang, lie or refuse."""
+"""Checks how daemons handle targets that crash, hang or refuse requests.
+
+Targets that report false health or stop announcing themselves are included.
+"""
 
 import json
 import signal
@@ -30,7 +33,7 @@
 def test_a_request_that_crashes_targets_is_refused_after_one_trial(
     running, idempotent
 ):
-    entries = [p for p in running.vms if p.service == "payments"]
+    entries = [vm for vm in running.vms if vm.service == "payments"]
     replies = []
     for number in range(9):
         replies.append(
@@ -57,8 +60,8 @@
 
 
 def test_requests_in_progress_when_a_target_crashes_are_served(running):
-    vm = callers.owner_of(running, "payments", "k")
-    entry = next(p for p in running.vms if p.service == "seats")
+    owner = callers.owner_of(running, "payments", "k")
+    entry = next(vm for vm in running.vms if vm.service == "seats")
     slow_path = "/v1/payments/roster?key=k"
     host, _, port = entry.http_address.rpartition(":")
     connections = []
@@ -69,17 +72,17 @@
             "X-Deadline-Ms: 20000\r\n\r\n".encode()
         )
         connections.append(connection)
-    vm.target_process.kill()
-    vm.target_process.wait()
+    owner.target_process.kill()
+    owner.target_process.wait()
     for connection in connections:
         assert b" 200 " in connection.recv(4096).split(b"\r\n")[0]
         connection.close()
 
 
 def test_a_target_that_hangs_loses_its_slots(running):
-    vm = callers.owner_of(running, "seats", "k")
-    entry = next(p for p in running.vms if p.service == "payments")
-    vm.target_process.send_signal(signal.SIGSTOP)
+    owner = callers.owner_of(running, "seats", "k")
+    entry = next(vm for vm in running.vms if vm.service == "payments")
+    owner.target_process.send_signal(signal.SIGSTOP)
     try:
         reply = callers.send_request(
             entry, "GET", "/v1/seats/browse?key=k", X_Deadline_Ms="20000"
@@ -97,28 +100,28 @@
             )
         )
         new_owner = callers.owner_of(running, "seats", "k", entry=-1)
-        assert new_owner is not vm
+        assert new_owner is not owner
     finally:
-        vm.target_process.send_signal(signal.SIGCONT)
+        owner.target_process.send_signal(signal.SIGCONT)
 
 
 def test_a_working_target_that_reports_bad_health_keeps_its_slots(running):
-    vm = callers.owner_of(running, "seats", "k")
+    owner = callers.owner_of(running, "seats", "k")
     false_report = {"health": "dead", "load": 9999}
-    cluster.call(vm.target_address, "POST", "/faults", false_report)
+    cluster.call(owner.target_address, "POST", "/faults", false_report)
     entry = running.vms[-1]
     reply = callers.send_request(entry, "GET", "/v1/seats/browse?key=k")
-    assert json.loads(reply[2])["target"] == vm.name
+    assert json.loads(reply[2])["target"] == owner.name
 
 
 def test_a_target_that_stops_announcing_but_serves_keeps_its_slots(running):
-    vm = callers.owner_of(running, "seats", "k")
+    owner = callers.owner_of(running, "seats", "k")
     entry = running.vms[-1]
-    cluster.call(vm.target_address, "POST", "/faults", {"silent": True})
+    cluster.call(owner.target_address, "POST", "/faults", {"silent": True})
     for _ in range(25):
         reply = callers.send_request(entry, "GET", "/v1/seats/browse?key=k")
-        assert json.loads(reply[2])["target"] == vm.name
-        vm.target_process.poll()
+        assert json.loads(reply[2])["target"] == owner.name
+        owner.target_process.poll()
         time.sleep(0.12)
 
 
@@ -141,7 +144,7 @@
 
 
 def test_a_request_is_cancelled_when_its_caller_disconnects(running):
-    entry = next(p for p in running.vms if p.service == "seats")
+    entry = next(vm for vm in running.vms if vm.service == "seats")
     owner = callers.owner_of(running, "payments", "gone")
     cluster.call(owner.target_address, "POST", "/faults", {"extra_s": 2.0})
     host, _, port = entry.http_address.rpartition(":")
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -26,7 +26,8 @@
 
     Attributes:
         running: The cluster.
-        left: Time at which each leaving target began to leave; stays empty.
+        left: Time when each target began to leave; empty, because no fault of
+            this sequence makes a target leave.
         drained: Exit code of each daemon that was drained, by name.
         edits: Weight that was set, by the key of the row.
         stopping: Set to end the sequence early.
@@ -107,7 +108,7 @@
 
 
 def weights_in_force(running):
-    """Returns the weight of seats in the north, as each daemon applies it."""
+    """Returns the weight of seats in the north that each daemon applies."""
     weights = {}
     for vm in running.vms:
         rows = cluster.call(vm.http_address, "GET", "/owners?service=seats")[1]
@@ -121,18 +122,20 @@
 def test_every_promise_holds_under_faults(tmp_path, seed):
     running = clusters.small_cluster(tmp_path)
     sequence = FaultSequence(running, seed)
-    callers = load.LoadGenerator(running, LOAD_DURATION_S, REQUESTS_PER_S, seed)
+    generator = load.LoadGenerator(
+        running, LOAD_DURATION_S, REQUESTS_PER_S, seed
+    )
     try:
         fault_thread = threading.Thread(target=sequence.run)
         fault_thread.start()
-        callers.run()
+        generator.run()
         fault_thread.join()
         assert (
             running.wait_until_ready(clusters.READY_TIMEOUT_S, balanced=False)
             is not None
         )
-        evidence = checker.History(
-            callers.results,
+        history = checker.History(
+            generator.results,
             running.runs(),
             sequence.left,
             sequence.drained,
@@ -143,12 +146,12 @@
         sequence.stopping.set()
         running.stop()
     violations = {
-        name: found
-        for name, found in checker.find_violations(evidence).items()
-        if found
+        name: texts
+        for name, texts in checker.find_violations(history).items()
+        if texts
     }
     assert violations == {}
-    answered = [r for r in callers.results if r.verdict == "answered"]
-    assert len(answered) > 0.8 * len(callers.results)
+    answered = [r for r in generator.results if r.verdict == "answered"]
+    assert len(answered) > 0.8 * len(generator.results)
     assert sequence.drained
     assert sequence.edits
