--- a/bench/loads.py
+++ b/bench/loads.py
@@ -178,7 +178,7 @@
         """Number of calls in the queue."""
         return len(self._queue)
 
-    def offer(self, call: admission.QueuedCall, now: float) -> None:
+    def submit(self, call: admission.QueuedCall, now: float) -> None:
         """Queues a call, and starts it if a slot is free."""
         self._queue.append(call)
         self.start_waiting(now)
@@ -195,7 +195,9 @@
         """Refuses calls whose deadline has passed."""
         while self._queue and self._queue[0].deadline <= now:
             self._queue.popleft().refuse(
-                admission.Refusal(0.1, 0.0, 0.0, self.running, len(self._queue))
+                admission.QueueRefusal(
+                    0.1, 0.0, 0.0, self.running, len(self._queue)
+                )
             )
 
     def start_waiting(self, now: float) -> None:
@@ -371,7 +373,7 @@
             else:
                 self.tally.refused += 1
 
-        def refuse(refusal: admission.Refusal) -> None:
+        def refuse(refusal: admission.QueueRefusal) -> None:
             if self._many_entries:
                 self._record_load(candidate, target)
             tried_now = tried | {target.name}
@@ -401,7 +403,7 @@
             else:
                 self.tally.refused += 1
 
-        target.queue.offer(
+        target.queue.submit(
             admission.QueuedCall(
                 kind.rank,
                 kind.latency_objective,
--- a/bench/logcost.py
+++ b/bench/logcost.py
@@ -34,7 +34,7 @@
     """
     count = _LINE_COUNT // 10 if quick else _LINE_COUNT
     devnull = os.open(os.devnull, os.O_WRONLY)
-    stream = logs._Stream(devnull)
+    stream = logs._NonBlockingWriter(devnull)
     eliot.add_destinations(stream.write)
     written_us = _mean_us(count, lambda: logs.event("request", **_FIELDS))
     eliot.remove_destination(stream.write)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -168,7 +168,7 @@
         self._owned_since: dict[int, float] = {}
         self._slots_changed_at: dict[str, float] = {}
         self._meters: dict[str, loadstats.SlotMeter] = {}
-        self._load_reports: dict[str, loads.Loads] = {}
+        self._load_reports: dict[str, loads.MemberLoads] = {}
         self.moved_slots = 0
 
     def slot(self, key: str) -> int:
@@ -188,7 +188,7 @@
         up_servers = [server for server in servers if server.up]
         for server in up_servers:
             self._meters.setdefault(server.name, loadstats.SlotMeter(now))
-            self._load_reports.setdefault(server.name, loads.Loads())
+            self._load_reports.setdefault(server.name, loads.MemberLoads())
         if not self.owner:
             for slot in range(SLOTS):
                 self._assign(
@@ -246,7 +246,7 @@
         rates: dict[int, float],
         now: float,
     ) -> None:
-        known_rates = self._load_reports[server.name].fresh(now)
+        known_rates = self._load_reports[server.name].recent(now)
         members = [
             placement.Member(
                 other.name,
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -123,7 +123,7 @@
 ) -> checker.History:
     exit_codes = {schedule.leaving.name: schedule.drained()}
     return checker.History(
-        generator.results, running.runs(), schedule.left, exit_codes
+        generator.results, running.run_records(), schedule.left, exit_codes
     )
 
 
--- a/demo/cluster.py
+++ b/demo/cluster.py
@@ -288,7 +288,7 @@
         """Sets faults of the stand-in for the platform."""
         call(self.table_address, "POST", "/faults", values)
 
-    def runs(self) -> list[target_lib.RunRecord]:
+    def run_records(self) -> list[target_lib.RunRecord]:
         """Returns the run records that all targets have logged."""
         decoder = msgspec.json.Decoder(target_lib.RunRecord)
         records = []
--- a/demo/load.py
+++ b/demo/load.py
@@ -51,7 +51,7 @@
     verdicts: tuple[str, ...]
 
 
-class Reply(msgspec.Struct, frozen=True):
+class Response(msgspec.Struct, frozen=True):
     """The response to one attempt."""
 
     verdict: str
@@ -143,10 +143,10 @@
         request_id = f"{sent_ms}-{self.cluster.deployment.name}-{number}"
         started_at = time.monotonic()
         verdicts: list[str] = []
-        reply = Reply("no-connection", "", b"")
+        response = Response("no-connection", "", b"")
         for resends in range(1 + _MAX_RESENDS):
             vm = self.cluster.vms[(entry + resends) % len(self.cluster.vms)]
-            reply = self._send(
+            response = self._send(
                 connections,
                 vm.http_address,
                 operation,
@@ -154,20 +154,22 @@
                 request_id,
                 resends + 1,
             )
-            verdicts.append(reply.verdict)
-            if reply.verdict == "answered":
+            verdicts.append(response.verdict)
+            if response.verdict == "answered":
                 break
             time.sleep(0.05)
         answer_error = ""
-        if reply.verdict == "answered":
-            answer_error = _check_answer(reply.body, request_id, key, operation)
+        if response.verdict == "answered":
+            answer_error = _check_answer(
+                response.body, request_id, key, operation
+            )
         return Result(
             request_id=request_id,
             key=key,
             operation=f"{operation.method} {operation.path}",
             idempotent=operation.method == "GET",
-            verdict=reply.verdict,
-            reason=reply.reason,
+            verdict=response.verdict,
+            reason=response.reason,
             answer_error=answer_error,
             attempts=len(verdicts),
             started_at=started_at,
@@ -183,7 +185,7 @@
         key: str,
         request_id: str,
         attempt: int,
-    ) -> Reply:
+    ) -> Response:
         deadline_s = _DEADLINE_S if operation.urgent else _REPORT_DEADLINE_S
         headers = {
             "X-Request-Id": request_id,
@@ -211,12 +213,12 @@
         except (OSError, http.client.HTTPException):
             connection.close()
             connections.pop(address, None)
-            return Reply("no-connection", "", b"")
+            return Response("no-connection", "", b"")
         verdict = response.headers.get("X-Verdict", "?")
         reason = ""
         if verdict != "answered":
             reason = json.loads(data).get("reason", "?")
-        return Reply(verdict, reason, data)
+        return Response(verdict, reason, data)
 
 
 def _check_answer(
--- a/tamarackgap/logs.py
+++ b/tamarackgap/logs.py
@@ -40,7 +40,7 @@
     return " ".join(pairs)
 
 
-class _Stream:
+class _NonBlockingWriter:
     """Writes lines to a descriptor and never waits for its reader."""
 
     def __init__(self, descriptor: int) -> None:
@@ -74,7 +74,7 @@
         OSError: If the file can't be opened.
     """
     if path == STANDARD_OUTPUT:
-        write = _Stream(sys.stdout.fileno()).write
+        write = _NonBlockingWriter(sys.stdout.fileno()).write
     else:
         stream = (
             sys.stderr if path == "-" else open(path, "a", encoding="utf-8")  # noqa: SIM115
--- a/tamarackgap/network/httpserver.py
+++ b/tamarackgap/network/httpserver.py
@@ -138,12 +138,12 @@
         timers.every(_TIMEOUT_CHECK_INTERVAL_S, self._check_timeouts)
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Number of open connections."""
         return len(self._connections)
 
     @property
-    def in_progress(self) -> int:
+    def busy_connections(self) -> int:
         """Number of connections with an unanswered or incomplete request."""
         return sum(connection.is_busy for connection in self._connections)
 
--- a/tamarackgap/ownership/effects.py
+++ b/tamarackgap/ownership/effects.py
@@ -54,7 +54,7 @@
     settle: float = 1.0
     batch: int = 64
     ordered_keys: bool = False
-    load_half_life: float = loadstats.HALF_LIFE_S
+    load_half_life: float = loadstats.DEFAULT_HALF_LIFE_S
     load_warmup: float = 5.0
     min_tolerance: int = 0
     anchor: float = 0.0
@@ -133,7 +133,7 @@
 
 
 class ReleaseSlots(msgspec.Struct, frozen=True):
-    """Effect: let the target release slots, then call `slots_released`.
+    """Effect: let the target release slots, then call `record_release`.
 
     Attributes:
         slots: The slots; if empty, the move has ended or was given up.
--- a/tamarackgap/ownership/endedincarnations.py
+++ b/tamarackgap/ownership/endedincarnations.py
@@ -67,9 +67,7 @@
         """
         self._ends[name] = at
 
-    def ended_before(
-        self, view: records.TableView, now: float
-    ) -> frozenset[str]:
+    def ended(self, view: records.TableView, now: float) -> frozenset[str]:
         """Returns the incarnations that have ended, and drops closed ones.
 
         Args:
--- a/tamarackgap/ownership/epochchange.py
+++ b/tamarackgap/ownership/epochchange.py
@@ -87,13 +87,13 @@
         )
         if awaits_release or not self._renewer.own_lease.is_prepared(now):
             if now >= self._cancel_at:
-                self.cancel()
+                self.finish()
             return None
         write = planner.plan_epoch_write(
             self._intent, get_inputs(now), new_change_id(), self._release
         )
         if write is None:
-            self.cancel()
+            self.finish()
             return None
         self.moving_slots = frozenset(move.slot for move in write.moves)
         if self._ordered_keys and self.moving_slots and self._release is None:
@@ -105,7 +105,7 @@
         self._renewer.own_lease.begin_write()
         return write
 
-    def slots_released(self, handovers: dict[slots.SlotRange, str]) -> None:
+    def record_release(self, handovers: dict[slots.SlotRange, str]) -> None:
         """Records that the target has released the slots that are to move.
 
         Args:
@@ -116,7 +116,7 @@
                 self._release, handovers=handovers
             )
 
-    def cancel(self) -> None:
+    def finish(self) -> None:
         """Ends the change, whether it has been written or not.
 
         The owner stays in its current epoch, or is already in the epoch that
--- a/tamarackgap/ownership/lease.py
+++ b/tamarackgap/ownership/lease.py
@@ -165,7 +165,7 @@
         return self._next
 
     @property
-    def undecided(self) -> bool:
+    def is_undecided(self) -> bool:
         """Whether the write that begins the next epoch may be committed."""
         return self._undecided
 
--- a/tamarackgap/ownership/loads.py
+++ b/tamarackgap/ownership/loads.py
@@ -17,7 +17,7 @@
 _SECONDS_PER_MINUTE = 60.0
 
 
-class Loads:
+class MemberLoads:
     """The latest load that each member has reported."""
 
     def __init__(self) -> None:
@@ -38,7 +38,7 @@
         else:
             self._reports[incarnation] = (rate, now)
 
-    def fresh(self, now: float) -> dict[str, float]:
+    def recent(self, now: float) -> dict[str, float]:
         """Returns the loads that are not too old, and drops the others.
 
         Returns:
@@ -113,7 +113,7 @@
         self._view = view
         self._outbox = outbox
         self._rng = rng
-        self.member_loads = Loads()
+        self.member_loads = MemberLoads()
         self.move_budget = MoveBudget(records.Policy().moves, now)
         # Requests per second of each slot served here.
         self.slot_loads: dict[int, float] = {}
--- a/tamarackgap/ownership/ownership.py
+++ b/tamarackgap/ownership/ownership.py
@@ -418,7 +418,7 @@
                 self._plan_at = now
             self._outbox.broadcast(messages.RowUpdates(tuple(rows)))
         if change.kind is changes.ChangeKind.RECONFIGURE:
-            self._epoch_change.cancel()
+            self._epoch_change.finish()
         self._epoch_change.end_release()
 
     def receive(self, envelope: messages.Envelope, now: float) -> None:
@@ -630,7 +630,7 @@
             },
             is_pinned=self._is_pinned,
             rates=self._load_exchange.slot_loads,
-            loads=self._load_exchange.member_loads.fresh(now),
+            loads=self._load_exchange.member_loads.recent(now),
             max_moves=int(self._load_exchange.move_budget.tokens(now)),
             age=now - self._started_at,
             now=now,
@@ -641,7 +641,7 @@
                 self._view, self._incarnation, self.is_reachable, now
             ),
             challenged_for=self._liveness.challenge_durations(self._view, now),
-            ended=self._ended.ended_before(self._view, now),
+            ended=self._ended.ended(self._view, now),
         )
 
     def _change_id(self) -> str:
@@ -655,13 +655,13 @@
             self._load_exchange.move_budget.spend(len(write.moves))
             self._commit(write.change, now)
 
-    def slots_released(self, handovers: dict[slots.SlotRange, str]) -> None:
+    def record_release(self, handovers: dict[slots.SlotRange, str]) -> None:
         """Records that the target has released the slots that are to move.
 
         Args:
             handovers: The target's text for the next target of each range.
         """
-        self._epoch_change.slots_released(handovers)
+        self._epoch_change.record_release(handovers)
 
     def _check_revision(self, revision: int) -> None:
         if revision > self._view.cursor:
--- a/tamarackgap/ownership/witness.py
+++ b/tamarackgap/ownership/witness.py
@@ -17,7 +17,7 @@
 )
 
 
-class Entry(msgspec.Struct):
+class EpochState(msgspec.Struct):
     """A witness's state for one owner's epoch.
 
     Attributes:
@@ -60,23 +60,23 @@
                 suspected and the epoch may be sealed, seconds.
         """
         self._suspect_after = suspect_after
-        self._entries: dict[str, dict[int, Entry]] = {}
+        self._epoch_states: dict[str, dict[int, EpochState]] = {}
 
-    def entry(self, owner: str, epoch: int) -> Entry | None:
-        """Returns the entry of an epoch, or None if a later epoch is known.
+    def epoch_state(self, owner: str, epoch: int) -> EpochState | None:
+        """Returns the state of an epoch, or None if a later epoch is known.
 
-        Creates the entry if the epoch is new. The two highest epochs of an
+        Creates the state if the epoch is new. The two highest epochs of an
         owner are kept, because it prepares the next one while the current
         one is in use.
         """
-        epochs = self._entries.setdefault(owner, {})
+        epochs = self._epoch_states.setdefault(owner, {})
         if epoch in epochs:
             return epochs[epoch]
         if epochs and epoch < max(epochs):
             return None
         for old in [known for known in epochs if known < epoch - 1]:
             del epochs[old]
-        return epochs.setdefault(epoch, Entry())
+        return epochs.setdefault(epoch, EpochState())
 
     def renew(
         self,
@@ -101,12 +101,12 @@
             The state of the epoch; OPEN and RETIRED mean granted, unless
             the request was a probe.
         """
-        entry = self.entry(owner, epoch)
-        if entry is None:
+        epoch_state = self.epoch_state(owner, epoch)
+        if epoch_state is None:
             return types.WitnessState.SUPERSEDED
-        if entry.state not in _STOPPED_STATES and not probe:
-            entry.granted_at = now
-        return entry.state
+        if epoch_state.state not in _STOPPED_STATES and not probe:
+            epoch_state.granted_at = now
+        return epoch_state.state
 
     def seal(
         self, owner: str, epoch: int, now: types.Seconds
@@ -121,16 +121,16 @@
         Returns:
             The state afterwards, and the age of the last grant in seconds.
         """
-        entry = self.entry(owner, epoch)
-        if entry is None:
+        epoch_state = self.epoch_state(owner, epoch)
+        if epoch_state is None:
             return types.WitnessState.SUPERSEDED, 0.0
-        age = entry.age(now)
+        age = epoch_state.age(now)
         if age >= self._suspect_after:
-            if entry.state is types.WitnessState.OPEN:
-                entry.state = types.WitnessState.SEALED
-            elif entry.state is types.WitnessState.RETIRED:
-                entry.state = types.WitnessState.CLOSED
-        return entry.state, age
+            if epoch_state.state is types.WitnessState.OPEN:
+                epoch_state.state = types.WitnessState.SEALED
+            elif epoch_state.state is types.WitnessState.RETIRED:
+                epoch_state.state = types.WitnessState.CLOSED
+        return epoch_state.state, age
 
     def retire(self, owner: str, epoch: int) -> types.WitnessState:
         """Retires an epoch: from now on only a write to the table ends it.
@@ -140,18 +140,18 @@
         Returns:
             The state afterwards.
         """
-        entry = self.entry(owner, epoch)
-        if entry is None:
+        epoch_state = self.epoch_state(owner, epoch)
+        if epoch_state is None:
             return types.WitnessState.SUPERSEDED
-        if entry.state is types.WitnessState.OPEN:
-            entry.state = types.WitnessState.RETIRED
-        return entry.state
+        if epoch_state.state is types.WitnessState.OPEN:
+            epoch_state.state = types.WitnessState.RETIRED
+        return epoch_state.state
 
     def release(self, owner: str, epoch: int) -> None:
         """Records that the owner has given the epoch up."""
-        entry = self.entry(owner, epoch)
-        if entry is not None:
-            entry.released = True
+        epoch_state = self.epoch_state(owner, epoch)
+        if epoch_state is not None:
+            epoch_state.released = True
 
     def suspicions(self, now: types.Seconds) -> list[Suspicion]:
         """Returns epochs whose last grant is old or whose owner gave them up.
@@ -162,19 +162,19 @@
         """
         return [
             Suspicion(types.Incarnation(owner), types.Epoch(epoch))
-            for owner, epochs in self._entries.items()
-            for epoch, entry in epochs.items()
-            if (entry.granted_at is not None or entry.released)
-            and entry.age(now) >= self._suspect_after
+            for owner, epochs in self._epoch_states.items()
+            for epoch, epoch_state in epochs.items()
+            if (epoch_state.granted_at is not None or epoch_state.released)
+            and epoch_state.age(now) >= self._suspect_after
         ]
 
     def forget_suspicion(self, suspicion: Suspicion) -> None:
         """Stops reporting an epoch whose record is closed or deleted.
 
-        The entry stays, as CLOSED: an owner that was paused may still ask
+        The state is kept, as CLOSED: an owner that was paused may still ask
         for a renewal, and must not get one.
         """
-        entry = self._entries[suspicion.owner][suspicion.epoch]
-        entry.granted_at = None
-        entry.released = False
-        entry.state = types.WitnessState.CLOSED
+        epoch_state = self._epoch_states[suspicion.owner][suspicion.epoch]
+        epoch_state.granted_at = None
+        epoch_state.released = False
+        epoch_state.state = types.WitnessState.CLOSED
--- a/tamarackgap/placement/loadstats.py
+++ b/tamarackgap/placement/loadstats.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-HALF_LIFE_S = 10.0
+DEFAULT_HALF_LIFE_S = 10.0
 _SKETCH_CAPACITY_KEYS = 192
 # A slot that was assigned more recently is treated as this old: its first
 # request would otherwise look like a high rate.
@@ -29,7 +29,9 @@
 class SlotMeter:
     """Measures requests a second of each slot, with an exponential decay."""
 
-    def __init__(self, now: float, half_life: float = HALF_LIFE_S) -> None:
+    def __init__(
+        self, now: float, half_life: float = DEFAULT_HALF_LIFE_S
+    ) -> None:
         """Creates a meter that has counted nothing.
 
         Args:
--- a/tamarackgap/placement/placement.py
+++ b/tamarackgap/placement/placement.py
@@ -167,7 +167,7 @@
     members: Sequence[Member],
     rates: dict[int, float] | None = None,
     tolerance: float = 0.08,
-    half_life: float = loadstats.HALF_LIFE_S,
+    half_life: float = loadstats.DEFAULT_HALF_LIFE_S,
     strategy: "MoveStrategy | None" = None,
 ) -> list[Move]:
     """Returns the moves that bring every member close to its share.
--- a/tamarackgap/platform/operatorconfig.py
+++ b/tamarackgap/platform/operatorconfig.py
@@ -100,7 +100,9 @@
         host=spec.host,
         prefix=spec.path_prefix,
         shares=tuple(
-            routetable.Share(types.ServiceName(split.service), split.weight)
+            routetable.WeightedService(
+                types.ServiceName(split.service), split.weight
+            )
             for split in splits
             if split.weight > 0
         ),
--- a/tamarackgap/processes/router.py
+++ b/tamarackgap/processes/router.py
@@ -184,7 +184,7 @@
             self._crash_history,
         )
         self._slot_releaser = slotrelease.SlotReleaser(
-            self._slot_grants, self._core.slots_released
+            self._slot_grants, self._core.record_release
         )
         self._retry_budgets = retries.ServiceRetryBudgets(
             settings.router_reruns / 100, settings.router_extra_reruns
@@ -604,7 +604,7 @@
             "peer_bytes_sent": self._transport.sent_bytes,
             "peer_messages_dropped": self._transport.dropped_messages,
             "peer_frames_malformed": self._transport.malformed_frames,
-            "open_connections": self._caller_server.connections,
+            "open_connections": self._caller_server.connection_count,
         }
 
     def _build_pages(self) -> httpserver.RequestHandler:
@@ -704,7 +704,7 @@
             not self._caller_server.is_open
             and not self._request_dispatcher.in_flight
             and not self._runner.in_progress
-            and not self._caller_server.in_progress
+            and not self._caller_server.busy_connections
             and not self._core.owned
         )
         if not idle and current_time < self._exit_deadline:
--- a/tamarackgap/requests/executor.py
+++ b/tamarackgap/requests/executor.py
@@ -175,7 +175,7 @@
             forward.urgent,
             leg.exclusive,
         )
-        if not self._limiter.admit(queued, now):
+        if not self._limiter.submit(queued, now):
             self._answer(leg, verdicts.not_run(types.Reason.QUEUE_FULL))
 
     def cancel(self, leg_id: str) -> None:
--- a/tamarackgap/requests/limiter.py
+++ b/tamarackgap/requests/limiter.py
@@ -112,7 +112,7 @@
                 1.0, self._limit_share + 1 / (self._max_in_progress * 10)
             )
 
-    def admit(self, request: QueuedRequest, now: float) -> bool:
+    def submit(self, request: QueuedRequest, now: float) -> bool:
         """Starts or queues a request.
 
         Args:
--- a/tamarackgap/traffic/admission.py
+++ b/tamarackgap/traffic/admission.py
@@ -48,7 +48,7 @@
 _LATE_WAIT_SHARE = 0.6
 
 
-class Refusal(msgspec.Struct, frozen=True):
+class QueueRefusal(msgspec.Struct, frozen=True):
     """Holds the state of the queue at the time a call was refused.
 
     Attributes:
@@ -87,7 +87,7 @@
     soft_deadline: float
     deadline: float
     start: Callable[[], None]
-    refuse: Callable[[Refusal], None]
+    refuse: Callable[[QueueRefusal], None]
 
 
 class _ServedShare:
@@ -208,7 +208,7 @@
         self._relative_latency = 0.0
         self._capacity_share = 1.0
 
-    def offer(self, call: QueuedCall, now: float) -> None:
+    def submit(self, call: QueuedCall, now: float) -> None:
         """Starts a call, queues it or refuses it at once."""
         self._served_share(call, now).record_offer(now)
         if not self._queue and self._running < self.capacity:
@@ -295,7 +295,7 @@
     def _refuse(
         self, call: QueuedCall, retry_after: float, wait: float
     ) -> None:
-        refusal = Refusal(
+        refusal = QueueRefusal(
             retry_after,
             wait,
             self.expected_duration(call.latency_objective),
--- a/tamarackgap/traffic/dispatcher.py
+++ b/tamarackgap/traffic/dispatcher.py
@@ -242,7 +242,7 @@
         Legs of requests that must not run twice wait for their deadline, or
         until the daemon is forgotten.
         """
-        for name in self._targets.expired():
+        for name in self._targets.expired_daemons():
             self._drop_daemon(name)
         for leg, pending in list(self._by_leg.items()):
             candidate = pending.candidate
@@ -273,10 +273,10 @@
             if refusal is not None:
                 self._await_owner(pending, refusal)
                 return
-            candidate = self._targets.for_owner(owner)
+            candidate = self._targets.candidate_of_owner(owner)
         else:
             candidate = balancer.choose(
-                self._targets.of_service(pending.service),
+                self._targets.candidates_of_service(pending.service),
                 pending.tried,
                 now,
                 self._rng,
--- a/tamarackgap/traffic/routetable.py
+++ b/tamarackgap/traffic/routetable.py
@@ -6,7 +6,7 @@
 from tamarackgap.network import httpserver
 
 
-class Share(msgspec.Struct, frozen=True):
+class WeightedService(msgspec.Struct, frozen=True):
     """Holds the weight of a service among the services of a route."""
 
     service: types.ServiceName
@@ -31,7 +31,7 @@
     name: str
     host: str
     prefix: str
-    shares: tuple[Share, ...]
+    shares: tuple[WeightedService, ...]
     idempotent: bool
     timeout: float
     latency_objective: float
--- a/tamarackgap/traffic/runner.py
+++ b/tamarackgap/traffic/runner.py
@@ -252,7 +252,7 @@
             functools.partial(self._start, leg),
             functools.partial(self._refuse_queued, leg),
         )
-        self._admission.offer(leg.queued_call, now)
+        self._admission.submit(leg.queued_call, now)
 
     def withdraw(self, sender: str, leg_id: int) -> None:
         """Cancels a leg whose caller no longer waits.
@@ -419,14 +419,14 @@
         if self._crash_history.clear(fingerprint):
             self.on_fingerprint_cleared(fingerprint)
 
-    def _refuse_queued(self, leg: Leg, refusal: admission.Refusal) -> None:
+    def _refuse_queued(self, leg: Leg, refusal: admission.QueueRefusal) -> None:
         self._refuse(leg, types.Reason.QUEUE_FULL, refusal)
 
     def _refuse(
         self,
         leg: Leg,
         reason: types.Reason,
-        refusal: admission.Refusal | None = None,
+        refusal: admission.QueueRefusal | None = None,
     ) -> None:
         completion = calls.Completion(
             leg.dispatch.leg,
@@ -455,7 +455,7 @@
         leg: Leg,
         completion: calls.Completion,
         now: float,
-        refusal: admission.Refusal | None = None,
+        refusal: admission.QueueRefusal | None = None,
     ) -> None:
         """Logs the completion of a call.
 
--- a/tamarackgap/traffic/targets.py
+++ b/tamarackgap/traffic/targets.py
@@ -101,7 +101,7 @@
         """Returns whether a target's daemon has not reported for too long."""
         return candidate.is_silent(self._timers.now)
 
-    def expired(self) -> list[str]:
+    def expired_daemons(self) -> list[str]:
         """Returns the daemons whose last report is too old to keep them."""
         since = self._timers.now - _EXPIRY_S
         return [
@@ -110,7 +110,9 @@
             if candidate.last_heard < since
         ]
 
-    def of_service(self, service: str) -> Iterator[balancer.Candidate]:
+    def candidates_of_service(
+        self, service: str
+    ) -> Iterator[balancer.Candidate]:
         """Yields the targets of a service."""
         return (
             candidate
@@ -118,7 +120,9 @@
             if candidate.service == service
         )
 
-    def for_owner(self, incarnation: types.Incarnation) -> balancer.Candidate:
+    def candidate_of_owner(
+        self, incarnation: types.Incarnation
+    ) -> balancer.Candidate:
         """Returns the target of a key's owner, even if it never reported."""
         candidate = self._candidates.get(incarnation)
         if candidate is None:
@@ -139,7 +143,7 @@
         return any(
             candidate.reported_load + candidate.sent_since_report
             < candidate.capacity
-            for candidate in self.of_service(service)
+            for candidate in self.candidates_of_service(service)
             if candidate.is_usable(now)
         )
 
--- a/tests/ownership/test_lease.py
+++ b/tests/ownership/test_lease.py
@@ -82,4 +82,4 @@
     owner_lease.begin_write()
     owner_lease.abandon()
     assert owner_lease.current.epoch == 1
-    assert not owner_lease.undecided
+    assert not owner_lease.is_undecided
--- a/tests/ownership/test_loads.py
+++ b/tests/ownership/test_loads.py
@@ -2,13 +2,13 @@
 
 
 def test_old_loads_are_dropped():
-    member_loads = loads.Loads()
+    member_loads = loads.MemberLoads()
     member_loads.record("a", 5.0, 0.0)
     member_loads.record("b", 6.0, 4.0)
-    assert member_loads.fresh(5.0) == {"a": 5.0, "b": 6.0}
-    assert member_loads.fresh(8.0) == {"b": 6.0}
+    assert member_loads.recent(5.0) == {"a": 5.0, "b": 6.0}
+    assert member_loads.recent(8.0) == {"b": 6.0}
     member_loads.record("b", None, 8.0)
-    assert member_loads.fresh(8.0) == {}
+    assert member_loads.recent(8.0) == {}
 
 
 def test_moves_per_minute_are_limited():
--- a/tests/ownership/test_witness.py
+++ b/tests/ownership/test_witness.py
@@ -23,7 +23,7 @@
     own_witness.renew("o", 1, 10.0)
     assert own_witness.seal("o", 1, 10.5)[0] is STATE.SEALED
     assert own_witness.renew("o", 1, 10.6) is STATE.SEALED
-    assert own_witness.entry("o", 1).granted_at == 10.0
+    assert own_witness.epoch_state("o", 1).granted_at == 10.0
     assert own_witness.retire("o", 1) is STATE.SEALED
 
 
@@ -77,5 +77,5 @@
     own_witness = make_witness()
     own_witness.renew("o", 1, 10.0)
     assert own_witness.renew("o", 1, 10.4, probe=True) is STATE.OPEN
-    assert own_witness.entry("o", 1).granted_at == 10.0
+    assert own_witness.epoch_state("o", 1).granted_at == 10.0
     assert own_witness.seal("o", 1, 10.5)[0] is STATE.SEALED
--- a/tests/processes/test_daemon.py
+++ b/tests/processes/test_daemon.py
@@ -76,7 +76,7 @@
     )
     assert first[:2] == (200, "answered")
     assert second == first
-    runs = [run for run in live_cluster.runs() if run.request == request]
+    runs = [run for run in live_cluster.run_records() if run.request == request]
     assert len(runs) == 1
 
 
--- a/tests/requests/test_limiter.py
+++ b/tests/requests/test_limiter.py
@@ -8,7 +8,7 @@
         self.started = []
         self.shed = []
 
-    def admit(
+    def submit(
         self, name, urgent=True, deadline=100.0, now=0.0, exclusive=False
     ):
         request = limiter.QueuedRequest(
@@ -18,14 +18,14 @@
             urgent,
             exclusive,
         )
-        return self.limiter.admit(request, now)
+        return self.limiter.submit(request, now)
 
 
 def test_requests_over_the_limit_are_queued_or_refused():
     harness = LimiterHarness()
-    assert all(harness.admit(name) for name in "abcd")
+    assert all(harness.submit(name) for name in "abcd")
     assert harness.started == ["a", "b"]
-    assert not harness.admit("e")
+    assert not harness.submit("e")
     harness.limiter.release(0.0)
     assert harness.started == ["a", "b", "c"]
     assert harness.limiter.in_progress == 2
@@ -33,27 +33,27 @@
 
 def test_urgent_requests_start_before_reports():
     harness = LimiterHarness(limit=1)
-    harness.admit("a")
-    harness.admit("report", urgent=False)
-    harness.admit("b")
+    harness.submit("a")
+    harness.submit("report", urgent=False)
+    harness.submit("b")
     harness.limiter.release(0.0)
     assert harness.started == ["a", "b"]
 
 
 def test_urgent_request_displaces_a_queued_report():
     harness = LimiterHarness(limit=1)
-    harness.admit("a")
-    harness.admit("r1", urgent=False)
-    harness.admit("r2", urgent=False)
-    assert harness.admit("b")
+    harness.submit("a")
+    harness.submit("r1", urgent=False)
+    harness.submit("r2", urgent=False)
+    assert harness.submit("b")
     assert harness.shed == ["r2"]
-    assert not harness.admit("r3", urgent=False)
+    assert not harness.submit("r3", urgent=False)
 
 
 def test_queued_requests_past_their_deadline_are_shed():
     harness = LimiterHarness(limit=1)
-    harness.admit("a")
-    harness.admit("late", deadline=1.0)
+    harness.submit("a")
+    harness.submit("late", deadline=1.0)
     harness.limiter.release(2.0)
     assert harness.shed == ["late"]
     assert harness.limiter.in_progress == 0
@@ -62,7 +62,7 @@
 def test_higher_limit_starts_queued_requests():
     harness = LimiterHarness(limit=1)
     for name in "abc":
-        harness.admit(name)
+        harness.submit(name)
     harness.limiter.set_limits(3, 2, 0.0)
     harness.limiter.start_queued(0.0)
     assert harness.started == ["a", "b", "c"]
@@ -71,16 +71,16 @@
 def test_shed_all_sheds_all_queued_requests():
     harness = LimiterHarness(limit=1)
     for name in "abc":
-        harness.admit(name)
+        harness.submit(name)
     harness.limiter.shed_all()
     assert harness.shed == ["b", "c"]
 
 
 def test_exclusive_request_runs_alone():
     harness = LimiterHarness(limit=4, queue=9)
-    harness.admit("a")
-    harness.admit("suspect", exclusive=True)
-    harness.admit("b")
+    harness.submit("a")
+    harness.submit("suspect", exclusive=True)
+    harness.submit("b")
     assert harness.started == ["a"]
     harness.limiter.release(0.0)
     assert harness.started == ["a", "suspect"]
--- a/tests/support/simulation.py
+++ b/tests/support/simulation.py
@@ -267,7 +267,7 @@
                 daemon.next_read_at = self.now
             case effects.ReleaseSlots(slots=slots):
                 if slots and self.targets_release:
-                    daemon.core.slots_released({})
+                    daemon.core.record_release({})
 
     def _send(self, daemon, address, frame):
         if daemon.outbound_cut or self.rng.random() < self.message_loss_rate:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -140,7 +140,9 @@
     )
     assert reply[:2] == (503, "not-run")
     assert json.loads(reply[2])["reason"] == "target-refused"
-    assert [run for run in running.runs() if run.request == "shed-1"] == []
+    assert [
+        run for run in running.run_records() if run.request == "shed-1"
+    ] == []
 
 
 def test_a_request_is_cancelled_when_its_caller_disconnects(running):
@@ -166,4 +168,6 @@
         )
     )
     time.sleep(2.5)
-    assert [run for run in running.runs() if run.request == "gone-1"] == []
+    assert [
+        run for run in running.run_records() if run.request == "gone-1"
+    ] == []
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -136,7 +136,7 @@
         )
         history = checker.History(
             generator.results,
-            running.runs(),
+            running.run_records(),
             sequence.left,
             sequence.drained,
             sequence.edits,
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -146,8 +146,8 @@
     @stateful.invariant()
     def model_agrees_with_daemon(self):
         for real, model in zip(self.real, self.model, strict=True):
-            entry = real.entry("o", 1)
-            assert STATE_CODES[entry.state] == model.state
+            epoch_state = real.epoch_state("o", 1)
+            assert STATE_CODES[epoch_state.state] == model.state
         valid = self.grants.valid_until() > self.now
         assert valid == (sum(model.valid_for > 0 for model in self.model) >= 2)
         sealed = sum(model.reply == "s" for model in self.model) >= 2
--- a/tests/traffic/test_admission.py
+++ b/tests/traffic/test_admission.py
@@ -16,7 +16,7 @@
         self.started = []
         self.refused = []
 
-    def offer(
+    def submit(
         self, name, rank=1, latency_objective=None, deadline=1.0, waited=0.0
     ):
         latency_objective = latency_objective or self.latency_objective
@@ -33,7 +33,7 @@
             start,
             lambda refusal: self.refused.append((name, refusal)),
         )
-        self.queue.offer(call, self.now)
+        self.queue.submit(call, self.now)
         return call
 
     def run(self, seconds):
@@ -49,11 +49,11 @@
 
 def test_call_starts_at_once_if_capacity_is_free():
     target = Target(2)
-    target.offer("a")
-    target.offer("b")
+    target.submit("a")
+    target.submit("b")
     assert target.started == ["a", "b"]
     assert target.queue.running == 2
-    target.offer("c")
+    target.submit("c")
     assert target.queue.waiting == 1
     target.run(0.11)
     assert target.started == ["a", "b", "c"]
@@ -61,18 +61,18 @@
 
 def test_calls_start_in_order_of_rank():
     target = Target(1)
-    target.offer("first")
-    target.offer("rank 2", rank=2)
-    target.offer("rank 0", rank=0)
+    target.submit("first")
+    target.submit("rank 2", rank=2)
+    target.submit("rank 0", rank=0)
     target.run(0.15)
     assert target.started == ["first", "rank 0"]
 
 
 def test_call_in_time_starts_before_late_call():
     target = Target(1)
-    target.offer("first")
-    target.offer("late", waited=0.29)
-    target.offer("in time", latency_objective=0.3)
+    target.submit("first")
+    target.submit("late", waited=0.29)
+    target.submit("in time", latency_objective=0.3)
     target.run(0.15)
     assert target.started == ["first", "in time"]
     target.run(0.1)
@@ -81,47 +81,47 @@
 
 def test_short_objective_starts_first_within_rank():
     target = Target(1)
-    target.offer("first")
-    target.offer("long", latency_objective=0.6)
-    target.offer("short", latency_objective=0.2)
+    target.submit("first")
+    target.submit("long", latency_objective=0.6)
+    target.submit("short", latency_objective=0.2)
     target.run(0.15)
     assert target.started == ["first", "short"]
 
 
 def test_call_that_cannot_start_in_time_is_refused_at_once():
     target = Target(1)
-    target.offer("first")
-    target.offer("too late", deadline=0.05)
+    target.submit("first")
+    target.submit("too late", deadline=0.05)
     assert [name for name, _ in target.refused] == ["too late"]
 
 
 def test_retry_after_grows_with_queue():
     target = Target(1)
-    target.offer("first")
+    target.submit("first")
     for index in range(5):
-        target.offer(index, deadline=10.0)
-    target.offer("a", deadline=0.05)
+        target.submit(index, deadline=10.0)
+    target.submit("a", deadline=0.05)
     for index in range(5):
-        target.offer(index, deadline=10.0)
-    target.offer("b", deadline=0.05)
+        target.submit(index, deadline=10.0)
+    target.submit("b", deadline=0.05)
     (_, first), (_, second) = target.refused
     assert 0 < first.retry_after < second.retry_after
 
 
 def test_all_calls_are_refused_without_target():
     target = Target(1)
-    target.offer("first")
-    target.offer("second")
+    target.submit("first")
+    target.submit("second")
     target.queue.resize(0, 0.0)
     assert [name for name, _ in target.refused] == ["second"]
-    target.offer("third")
+    target.submit("third")
     assert [name for name, _ in target.refused] == ["second", "third"]
 
 
 def test_withdrawn_call_never_starts():
     target = Target(1)
-    target.offer("first")
-    call = target.offer("second")
+    target.submit("first")
+    call = target.submit("second")
     assert target.queue.withdraw(call)
     assert not target.queue.withdraw(call)
     target.run(0.2)
@@ -149,7 +149,7 @@
         if target.now >= next_arrival:
             for kind, latency_objective in (("short", 0.2), ("long", 0.4)):
                 offered[kind] += 1
-                target.offer(
+                target.submit(
                     (kind, offered[kind]),
                     latency_objective=latency_objective,
                     deadline=0.8,
@@ -175,7 +175,7 @@
     while target.now < 10.0:
         while next_arrival <= target.now:
             arrivals[count] = target.now
-            target.offer(count, deadline=1.0)
+            target.submit(count, deadline=1.0)
             count += 1
             next_arrival += interval
         before = len(target.refused)
@@ -192,8 +192,8 @@
 
 def test_refusal_holds_state_of_queue():
     target = Target(1, duration=10.0)
-    target.offer("first")
-    target.offer("second", deadline=0.5)
+    target.submit("first")
+    target.submit("second", deadline=0.5)
     target.run(0.5)
     ((name, refusal),) = target.refused
     assert name == "second"
--- a/tests/traffic/test_routetable.py
+++ b/tests/traffic/test_routetable.py
@@ -6,7 +6,7 @@
 
 def route(host, prefix, *weights):
     shares = tuple(
-        routetable.Share(f"s{index}", weight)
+        routetable.WeightedService(f"s{index}", weight)
         for index, weight in enumerate(weights or (1,))
     )
     return routetable.Route(prefix, host, prefix, shares, True, 1.0, 0.3, 2, 1)
--- a/tests/traffic/test_targets.py
+++ b/tests/traffic/test_targets.py
@@ -45,9 +45,9 @@
     # Calls at a daemon that had given up its lease were failed as lost.
     _, directory = subject
     directory.update_status("a", "x:1", status())
-    before = next(directory.of_service("s"))
+    before = next(directory.candidates_of_service("s"))
     assert directory.update_status("b", "x:1", status(accepting=False)) == []
-    (after,) = directory.of_service("s")
+    (after,) = directory.candidates_of_service("s")
     assert after is before
     assert after.incarnation == "b"
     assert not after.accepting
@@ -71,14 +71,16 @@
     _, directory = subject
     directory.update_status("a", "x:1", status())
     directory.update_status("b", "y:1", status(service="t"))
-    assert [c.incarnation for c in directory.of_service("s")] == ["a"]
+    assert [c.incarnation for c in directory.candidates_of_service("s")] == [
+        "a"
+    ]
 
 
 def test_has_room_compares_load_with_capacity(subject):
     _, directory = subject
     directory.update_status("a", "x:1", status(running=3))
     assert directory.has_room("s")
-    next(directory.of_service("s")).sent_since_report = 1
+    next(directory.candidates_of_service("s")).sent_since_report = 1
     assert not directory.has_room("s")
     directory.record_load(
         "a", calls.Completion(1, calls.types.Verdict.ANSWERED, running=2)
@@ -92,11 +94,11 @@
     assert directory.is_reachable("a")
     timers.now += balancer.SILENCE_TIMEOUT_S
     assert not directory.is_reachable("a")
-    assert directory.expired() == []
+    assert directory.expired_daemons() == []
     timers.now += 10 * balancer.SILENCE_TIMEOUT_S
-    assert directory.expired() == ["a"]
+    assert directory.expired_daemons() == ["a"]
     directory.remove("a")
-    assert not list(directory.of_service("s"))
+    assert not list(directory.candidates_of_service("s"))
 
 
 def test_silence_timeout_grows_with_report_interval(subject):
@@ -104,14 +106,14 @@
     directory.update_status("a", "x:1", status(interval=1.0))
     timers.now += 2 * 1.0
     assert directory.is_reachable("a")
-    assert next(directory.of_service("s")).is_usable(timers.now)
+    assert next(directory.candidates_of_service("s")).is_usable(timers.now)
     timers.now += 1.0
     assert not directory.is_reachable("a")
-    assert not next(directory.of_service("s")).is_usable(timers.now)
+    assert not next(directory.candidates_of_service("s")).is_usable(timers.now)
 
 
 def test_owner_without_report_is_found_by_lease_record(subject):
     _, directory = subject
-    assert directory.for_owner("known").incarnation == "known"
+    assert directory.candidate_of_owner("known").incarnation == "known"
     assert directory.address("known") == "1.2.3.4:5"
     assert directory.address("nobody") == ""
