--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, as ratios within one run; raw figures go to CSV."""
+"""Benchmarks. Figures are compared within one run and written as CSV."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""`make bench`: all measurements, or some of them."""
+"""`make bench`: runs all parts of the bench, or the given ones."""
 
 import click
 
@@ -32,9 +32,9 @@
 
 @click.command()
 @click.argument("parts", nargs=-1, type=click.Choice(sorted(_PARTS)))
-@click.option("--quick", is_flag=True, help="Fewer repetitions: a trial.")
+@click.option("--quick", is_flag=True, help="Fewer repetitions, for a trial.")
 def main(parts: tuple[str, ...], quick: bool) -> None:
-    """Measures PARTS, or everything."""
+    """Runs the given PARTS of the bench, or all of them."""
     for name in parts or _PARTS:
         _PARTS[name](quick)
 
--- a/bench/bare.py
+++ b/bench/bare.py
@@ -1,4 +1,4 @@
-"""A bare `circuits.web` handler: what the frame itself costs."""
+"""A minimal `circuits.web` server, to measure the cost of the framework."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 class BareHandler(circuits.Component):
-    """Answers every request with two bytes."""
+    """Responds to every request with the two bytes `ok`."""
 
     channel = "web"
 
@@ -23,7 +23,7 @@
 
 
 def main(address: str) -> None:
-    """Serves on `ip:port` until it is killed."""
+    """Serves at `address`, which is `ip:port`, until the process is killed."""
     root = circuits.Component()
     servers.BaseServer(address, display_banner=False).register(root)
     BareHandler().register(root)
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Tables of figures: printed, and written as CSV."""
+"""Prints tables of results and writes them as CSV."""
 
 import csv
 import pathlib
@@ -11,7 +11,12 @@
 
 
 def show(name: str, rows: list[Row]) -> None:
-    """Prints rows and writes them to `results/NAME.csv`."""
+    """Prints rows and writes them to `results/NAME.csv`.
+
+    Args:
+        name: Name of the table.
+        rows: Rows with the same columns in the same order.
+    """
     if not rows:
         click.echo(f"{name}: no rows")
         return
@@ -36,7 +41,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the value that `share` of the values do not exceed."""
+    """Returns the value that the given share of the values does not exceed."""
     ordered = sorted(values)
     index = min(len(ordered) - 1, int(len(ordered) * share))
     return ordered[index]
